--- a/src/policy/newest_gate.cc
+++ b/src/policy/newest_gate.cc
@@ -5,30 +5,30 @@
 namespace medlarwalk {
 
 void NewestGate::Offer(int64_t version, Document document, Done done) {
-  if (open()) {
+  if (HasCapacity()) {
     Change change{version, std::move(document), {}};
     change.done.push_back(std::move(done));
-    Go(std::move(change));
+    SendChange(std::move(change));
     return;
   }
-  if (!waiting_.document || version > waiting_.version) {
-    waiting_.version = version;
-    waiting_.document = std::move(document);
+  if (!pending_.document || version > pending_.version) {
+    pending_.version = version;
+    pending_.document = std::move(document);
   }
-  waiting_.done.push_back(std::move(done));
+  pending_.done.push_back(std::move(done));
 }
 
-void NewestGate::Go(Change change) {
-  size_t n = change.document->size();
-  under_way_ += n;
+void NewestGate::SendChange(Change change) {
+  size_t bytes_sent = change.document->size();
+  in_flight_bytes_ += bytes_sent;
   send_(change.version, change.document,
-        [this, alive = std::weak_ptr<bool>(alive_), n,
+        [this, alive = std::weak_ptr<bool>(alive_), bytes_sent,
          done = std::move(change.done)](const absl::Status& s) {
           if (alive.expired()) return;
-          under_way_ -= n;
+          in_flight_bytes_ -= bytes_sent;
           for (const Done& d : done) d(s);
-          if (waiting_.document && open()) {
-            Go(std::exchange(waiting_, Change{}));
+          if (pending_.document && HasCapacity()) {
+            SendChange(std::exchange(pending_, Change{}));
           }
         });
 }
--- a/src/policy/newest_gate.h
+++ b/src/policy/newest_gate.h
@@ -1,6 +1,6 @@
-// Bounds the configurations that are on their way to being committed. Load
-// pattern: operators, or one that repeats itself, send changes of hundreds of
-// kilobytes faster than the links carry them; each replaces the ones before.
+// Limits the bytes of configurations that are being committed. Load pattern:
+// operators or a program in a loop submit changes of hundreds of kilobytes
+// faster than the links carry them; each change replaces the earlier ones.
 #ifndef MEDLARWALK_NEWEST_GATE_H_
 #define MEDLARWALK_NEWEST_GATE_H_
 
@@ -15,44 +15,48 @@
 
 namespace medlarwalk {
 
-// Lets changes through while fewer than a number of bytes are under way. Past
-// it the newest waits, and those it overtakes are answered with it: a version
-// that a higher one has replaced is in force as far as it ever will be. Pure
-// but for `send`. Thread safety: loop thread only.
+// Sends changes while fewer than a number of bytes are in flight. Beyond that
+// limit only the newest change is kept pending, and older ones get its result:
+// a change that a newer one replaced never takes effect separately. Pure except
+// for `send`. Thread safety: loop thread only.
 class NewestGate {
  public:
   using Done = std::function<void(absl::Status)>;
-  // Sends one change on; must call its Done once, perhaps at once.
+  // Sends one change. Must call its Done exactly once, possibly before it
+  // returns.
   using Send = std::function<void(int64_t version, Document, Done)>;
 
-  // One change is let through whatever its size.
-  NewestGate(size_t most_bytes, Send send)
-      : most_bytes_(most_bytes), send_(std::move(send)) {}
+  // A change is sent whatever its size if fewer than `max_in_flight_bytes` are
+  // in flight.
+  NewestGate(size_t max_in_flight_bytes, Send send)
+      : max_in_flight_bytes_(max_in_flight_bytes), send_(std::move(send)) {}
   NewestGate(const NewestGate&) = delete;
   NewestGate& operator=(const NewestGate&) = delete;
 
-  // `done` is called with what became of this change or of one that replaced
-  // it. Of changes with one version, the first to wait stands.
+  // Sends the change or keeps it pending. Calls `done` with the result of this
+  // change or of the one that replaced it. Of pending changes with the same
+  // version, the first is kept.
   void Offer(int64_t version, Document document, Done done);
-  // Bytes under way and waiting.
+  // Returns the number of bytes in flight and pending.
   size_t bytes() const {
-    return under_way_ + (waiting_.document ? waiting_.document->size() : 0);
+    return in_flight_bytes_ +
+           (pending_.document ? pending_.document->size() : 0);
   }
 
  private:
   struct Change {
     int64_t version = 0;
-    Document document;  // Null: none.
+    Document document;  // Null: no change.
     std::vector<Done> done;
   };
-  void Go(Change change);
-  bool open() const { return under_way_ < most_bytes_; }
+  void SendChange(Change change);
+  bool HasCapacity() const { return in_flight_bytes_ < max_in_flight_bytes_; }
 
-  size_t most_bytes_;
+  size_t max_in_flight_bytes_;
   Send send_;
-  size_t under_way_ = 0;
-  Change waiting_;
-  // An outcome may come when the gate is gone.
+  size_t in_flight_bytes_ = 0;
+  Change pending_;
+  // Detects a result that arrives after the destruction of this object.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/policy/part_memory.cc
+++ b/src/policy/part_memory.cc
@@ -5,8 +5,8 @@
 void PartMemory::Note(absl::Span<const PromptPart> parts,
                       const std::string& engine, TimePoint now) {
   for (size_t i = 0; i + 1 < parts.size(); ++i) {
-    if (seen_.size() >= most_ && !seen_.count(parts[i].id)) return;
-    seen_[parts[i].id] = Seen{engine, now};
+    if (seen_.size() >= max_parts_ && !seen_.count(parts[i].id)) return;
+    seen_[parts[i].id] = LastSeen{engine, now};
   }
 }
 
@@ -21,7 +21,7 @@
   for (size_t i = parts.size(); i-- > 0;) {
     if (i + 1 == parts.size()) continue;
     auto it = seen_.find(parts[i].id);
-    if (it != seen_.end() && now - it->second.at <= trust_) {
+    if (it != seen_.end() && now - it->second.at <= lifetime_) {
       return {it->second.engine, i + 1};
     }
   }
@@ -30,7 +30,7 @@
 
 void PartMemory::Tick(TimePoint now) {
   for (auto it = seen_.begin(); it != seen_.end();) {
-    it = now - it->second.at > trust_ ? seen_.erase(it) : std::next(it);
+    it = now - it->second.at > lifetime_ ? seen_.erase(it) : std::next(it);
   }
 }
 
--- a/src/policy/part_memory.h
+++ b/src/policy/part_memory.h
@@ -1,5 +1,6 @@
-// Which engine was last seen to hold a prompt part. A hint only: engines drop
-// parts when their memory fills, and other entries send there as well.
+// Records which engine last prefilled a prompt part. The result is only a hint:
+// an engine evicts parts when its memory fills, and other entries send prompts
+// to it as well.
 #ifndef MEDLARWALK_PART_MEMORY_H_
 #define MEDLARWALK_PART_MEMORY_H_
 
@@ -13,43 +14,46 @@
 
 namespace medlarwalk {
 
-// One part of a prompt: requests that share leading parts share cached state.
+// One part of a prompt. Requests that share leading parts share cached state.
 struct PromptPart {
   uint64_t id = 0;
   int64_t tokens = 0;
 };
 
-// Thread safety: loop thread only.
+// Table of prompt parts and the engines that hold them. Thread safety: loop
+// thread only.
 class PartMemory {
  public:
-  // `trust`: how long after it was seen a part is believed to be kept.
-  // `most`: parts remembered.
-  PartMemory(Duration trust, size_t most) : trust_(trust), most_(most) {}
+  // `lifetime`: time after which a recorded part is ignored. `max_parts`:
+  // maximum number of recorded parts.
+  PartMemory(Duration lifetime, size_t max_parts)
+      : lifetime_(lifetime), max_parts_(max_parts) {}
 
-  // `engine` has just read all of `parts`.
+  // Records that `engine` has just prefilled all of `parts`.
   void Note(absl::Span<const PromptPart> parts, const std::string& engine,
             TimePoint now);
-  // Forgets what `engine` held: it ended or lost its memory.
+  // Removes all parts of `engine`, which terminated or lost its memory.
   void Forget(const std::string& engine);
+  // An engine and what it holds of a prompt.
   struct Holding {
-    std::string engine;  // "" when none is known.
-    size_t parts = 0;    // Leading parts it holds.
+    std::string engine;  // "" when no engine is known.
+    size_t parts = 0;    // Number of leading parts that it holds.
   };
-  // The engine that holds the longest leading run of `parts`, the request's
-  // own last part left out.
+  // Returns the engine that holds the longest leading run of `parts`. The last
+  // part belongs to the request alone and is ignored.
   Holding Holder(absl::Span<const PromptPart> parts, TimePoint now) const;
-  // Drops what is no longer believed.
+  // Removes expired parts.
   void Tick(TimePoint now);
   size_t size() const { return seen_.size(); }
 
  private:
-  struct Seen {
+  struct LastSeen {
     std::string engine;
     TimePoint at{};
   };
-  Duration trust_;
-  size_t most_;
-  std::unordered_map<uint64_t, Seen> seen_;
+  Duration lifetime_;
+  size_t max_parts_;
+  std::unordered_map<uint64_t, LastSeen> seen_;
 };
 
 }  // namespace medlarwalk
--- a/src/policy/reading_gate.h
+++ b/src/policy/reading_gate.h
@@ -1,13 +1,12 @@
-// How many long prompts one entry process keeps under way at all engines of a
-// service together.
+// Limits the long prompts that one entry process has in prefill at all engines
+// of a service together.
 //
-// Load pattern: more long prompts than the engines can read, of several tiers,
-// sent by many entries, each of which sees one engine too seldom to learn
-// anything from it. What is sent beyond the engines' capacity waits there in
-// the order it came, where it can neither be ordered by tier nor refused. The
-// limit follows the first events of all engines together: down a little for
-// each that came late against its target, up while it binds and they come in
-// time.
+// Load pattern: more long prompts than the engines can prefill, of several
+// tiers, from many entries. Each entry uses a single engine too seldom to learn
+// a limit for it. Prompts beyond the capacity of the engines queue there in
+// order of arrival, where they can be neither ordered by tier nor rejected. The
+// limit follows the first events of all engines together: each late one lowers
+// it, and each timely one raises it while the limit is reached.
 #ifndef MEDLARWALK_READING_GATE_H_
 #define MEDLARWALK_READING_GATE_H_
 
@@ -18,62 +17,71 @@
 
 namespace medlarwalk {
 
+// Parameters of the prefill limit.
 struct ReadingGatePolicy {
-  double start = 16;
-  // Never fewer: an entry that sends nothing learns nothing.
+  double start = 16;  // Initial limit.
+  // Lower bound of the limit: an entry that sends nothing learns nothing.
   double least = 2;
-  double most = 512;
-  // A first event is late past this share of its latency target. An engine that
-  // always has a prompt to read puts a chunk of one into every step: tokens
-  // then take ten times as long, and streams end at their deadline.
+  double most = 512;  // Upper bound of the limit.
+  // A first event is late if it took more than this share of its latency
+  // target. An engine that always has a prompt to prefill adds a chunk of it to
+  // every step: tokens then take ten times as long, and streams reach their
+  // deadline.
   double late_share = 0.3;
-  double backoff = 0.97;  // Of the limit, for each late first event.
-  double step = 0.2;      // Onto the limit, for each in time while it binds.
-  // Prompts more urgent than the least urgent under way may fill the limit this
-  // many times: when it binds it is the least urgent that wait, not all alike.
+  double backoff_factor = 0.97;  // Factor for each late first event.
+  double limit_step = 0.2;       // Added for each timely one at the limit.
+  // Factor of the limit for prompts more urgent than the least urgent tier seen
+  // so far. At the limit only the least urgent prompts wait, instead of all
+  // alike.
   double urgent_headroom = 2;
 };
 
-// Thread safety: loop thread only.
+// Adaptive limit of concurrent prefills of one service. Thread safety: loop
+// thread only.
 class ReadingGate {
  public:
   explicit ReadingGate(const ReadingGatePolicy& policy)
       : policy_(policy), limit_(policy.start) {}
 
-  // Whether a request of `tier` may be sent. Less urgent ones under way do not
-  // count against it: what is already sent of these must not turn it away.
+  // Returns whether a prompt of `tier` may be sent. Less urgent prompts in
+  // flight do not count against the limit, so that they never block a more
+  // urgent one.
   bool open(Tier tier) const {
     int n = 0;
-    for (const auto& [t, under_way] : under_way_) {
-      if (t <= tier) n += under_way;
+    for (const auto& [t, count] : in_flight_) {
+      if (t <= tier) n += count;
     }
-    bool least = under_way_.empty() || tier >= under_way_.rbegin()->first;
-    double most = least ? limit_ : limit_ * policy_.urgent_headroom;
-    return n < static_cast<int>(most);
+    bool least_urgent =
+        in_flight_.empty() || tier >= in_flight_.rbegin()->first;
+    double tier_limit =
+        least_urgent ? limit_ : limit_ * policy_.urgent_headroom;
+    return n < static_cast<int>(tier_limit);
   }
-  void Sent(Tier tier) { ++under_way_[tier]; }
-  // The prompt was read or its request ended otherwise.
-  void Ended(Tier tier) { --under_way_[tier]; }
-  // The first event came `took` after the prompt was sent.
+  // Records that a prompt of `tier` was sent.
+  void Sent(Tier tier) { ++in_flight_[tier]; }
+  // Records that a prefill of `tier` or its request ended.
+  void Ended(Tier tier) { --in_flight_[tier]; }
+  // Records a first event that came `took` after its prompt was sent.
   void NoteFirstEvent(Duration took, Duration target) {
     double share = ToSeconds(took) / std::max(1e-3, ToSeconds(target));
     if (share > policy_.late_share) {
-      limit_ = std::max(policy_.least, limit_ * policy_.backoff);
+      limit_ = std::max(policy_.least, limit_ * policy_.backoff_factor);
     } else if (under_way() + 1 >= static_cast<int>(limit_)) {
-      limit_ = std::min(policy_.most, limit_ + policy_.step);
+      limit_ = std::min(policy_.most, limit_ + policy_.limit_step);
     }
   }
   double limit() const { return limit_; }
+  // Returns the number of prompts in flight.
   int under_way() const {
     int n = 0;
-    for (const auto& [t, under_way] : under_way_) n += under_way;
+    for (const auto& [t, count] : in_flight_) n += count;
     return n;
   }
 
  private:
   ReadingGatePolicy policy_;
   double limit_;
-  std::map<Tier, int> under_way_;
+  std::map<Tier, int> in_flight_;
 };
 
 }  // namespace medlarwalk
--- a/src/policy/retry_budget.h
+++ b/src/policy/retry_budget.h
@@ -1,5 +1,5 @@
-// The share of repeats this process may send to a service. All processes draw
-// on one allowance; each keeps to its part of it without talking.
+// Limits the retries that this process sends to a service. All processes share
+// one allowance; each keeps to its part of it without communication.
 #ifndef MEDLARWALK_RETRY_BUDGET_H_
 #define MEDLARWALK_RETRY_BUDGET_H_
 
@@ -9,47 +9,50 @@
 
 namespace medlarwalk {
 
-// The allowance for all processes together.
+// Retry allowance of all processes together.
 struct RetryAllowance {
-  double ratio = 0.2;  // Repeats for each first sending.
+  double ratio = 0.2;  // Retries per first attempt.
   Duration window = std::chrono::seconds(10);
-  double slack = 20;  // Repeats a window beside these.
+  double slack = 20;  // Further retries per window.
 };
 
-// Part of the allowance that is used: what others count may fall into other
-// windows than what is counted here.
+// Share of the allowance that processes hand out. Their windows are not
+// aligned, so handing out all of it could exceed the allowance in some window.
 inline constexpr double kBudgetUse = 0.6;
 
-// A token bucket for one service. Thread safety: loop thread only.
+// Token bucket of one service. Thread safety: loop thread only.
 class RetryBudget {
  public:
-  explicit RetryBudget(TimePoint now) : at_(now) {}
+  explicit RetryBudget(TimePoint now) : refilled_at_(now) {}
 
-  // Notes a first sending.
+  // Records a first attempt.
   void NoteRequest(const RetryAllowance& a) { tokens_ += a.ratio * kBudgetUse; }
-  // Takes one repeat if there is one; `serving`: processes that share.
+  // Consumes one retry. Returns false if none is left. `serving`: number of
+  // processes that share the allowance.
   bool Take(const RetryAllowance& a, int serving, TimePoint now) {
-    // Half of the slack may be spent at once, half comes back in a window.
-    double most =
+    // Half of the slack may be spent at once; the same amount refills per
+    // window.
+    double capacity =
         std::max(1.0, a.slack * kBudgetUse / 2 / std::max(1, serving));
-    if (!filled_) {
-      tokens_ = most;
-      filled_ = true;
+    if (!initialized_) {
+      tokens_ = capacity;
+      initialized_ = true;
     }
-    double share = ToSeconds(now - at_) / ToSeconds(a.window);
-    at_ = now;
-    tokens_ = std::min(tokens_ + most * share, most + a.ratio * kEarned);
+    double share = ToSeconds(now - refilled_at_) / ToSeconds(a.window);
+    refilled_at_ = now;
+    tokens_ = std::min(tokens_ + capacity * share,
+                       capacity + a.ratio * kMaxSavedSends);
     if (tokens_ < 1) return false;
     tokens_ -= 1;
     return true;
   }
 
  private:
-  // First sendings whose earned repeats may be saved up.
-  static constexpr double kEarned = 20;
+  // Maximum number of first attempts whose earned retries are saved up.
+  static constexpr double kMaxSavedSends = 20;
   double tokens_ = 0;
-  bool filled_ = false;
-  TimePoint at_;
+  bool initialized_ = false;
+  TimePoint refilled_at_;
 };
 
 }  // namespace medlarwalk
--- a/src/policy/tier_guard.cc
+++ b/src/policy/tier_guard.cc
@@ -5,22 +5,22 @@
 
 namespace medlarwalk {
 
-double TierGuard::Now(const Share& s, TimePoint now) const {
-  return s.turned_away * std::exp(-ToSeconds(now - s.at) / policy_.memory_s);
+double TierGuard::CurrentShare(const RejectedShare& s, TimePoint now) const {
+  return s.value * std::exp(-ToSeconds(now - s.at) / policy_.decay_s);
 }
 
-void TierGuard::Note(Tier tier, bool turned_away, TimePoint now) {
-  Share& s = shares_[tier];
-  double before = Now(s, now);
-  double event = turned_away ? 1 : 0;
-  s.turned_away = std::min(policy_.most_share,
-                           before + (event - before) / policy_.smoothed_over);
+void TierGuard::RecordOutcome(Tier tier, bool rejected, TimePoint now) {
+  RejectedShare& s = shares_[tier];
+  double before = CurrentShare(s, now);
+  double event = rejected ? 1 : 0;
+  s.value = std::min(policy_.max_rejected_share,
+                     before + (event - before) / policy_.smoothing_requests);
   s.at = now;
 }
 
 bool TierGuard::TurningAway(TimePoint now, Tier* tier) const {
   for (const auto& [t, s] : shares_) {
-    if (Now(s, now) < policy_.turned_away_share) continue;
+    if (CurrentShare(s, now) < policy_.min_rejected_share) continue;
     *tier = t;
     return true;
   }
@@ -28,8 +28,9 @@
 }
 
 bool TierGuard::Admits(Tier tier, TimePoint now) const {
-  Tier turning_away;
-  return !TurningAway(now, &turning_away) || tier <= turning_away;
+  Tier most_urgent_rejected;
+  return !TurningAway(now, &most_urgent_rejected) ||
+         tier <= most_urgent_rejected;
 }
 
 }  // namespace medlarwalk
--- a/src/policy/tier_guard.h
+++ b/src/policy/tier_guard.h
@@ -1,10 +1,11 @@
-// Which tiers may begin work at a service. Load pattern: more work than the
-// engines can do, of all tiers at once. Each entry turns its more urgent
-// requests away after a short wait, and the place that comes free a moment
-// later goes to a less urgent one that may wait longer: in a burst of six times
-// the traffic 74% of a tier were refused while one place in ten began work of
-// the tier below it. So what is less urgent than a tier that is being turned
-// away waits, until that has ended.
+// Decides which tiers of a service may start requests.
+//
+// Load pattern: more work of all tiers at once than the engines can do. Each
+// entry rejects its more urgent requests after a short wait, and the slot that
+// becomes free a moment later goes to a less urgent request that may wait
+// longer: in a burst of six times the traffic 74% of a tier are rejected while
+// one slot in ten goes to the tier below it. Therefore tiers less urgent than
+// one with rejections wait until those rejections end.
 #ifndef MEDLARWALK_TIER_GUARD_H_
 #define MEDLARWALK_TIER_GUARD_H_
 
@@ -14,43 +15,49 @@
 
 namespace medlarwalk {
 
+// Parameters of admission by tier.
 struct TierGuardPolicy {
-  // A tier is being turned away while this share of its requests finds no
-  // place: one lost now and then holds nobody up for long.
-  double turned_away_share = 0.02;
-  // The share is smoothed over so many requests of the tier, so that an entry
-  // with few requests a second knows as much as one with many, and over this
-  // time, so that it is forgotten where no more come.
-  double smoothed_over = 30;
-  double memory_s = 1.5;
-  // It counts for no more than this, so that what waits may go on within three
-  // seconds after the last was turned away.
-  double most_share = 0.12;
+  // A tier counts as rejected while at least this share of its requests finds
+  // no slot. A single rejection blocks nobody for long.
+  double min_rejected_share = 0.02;
+  // The share is smoothed over this number of requests of the tier, so that
+  // entries with few and with many requests per second judge alike, and decays
+  // with this time constant, so that it fades when no more requests come.
+  double smoothing_requests = 30;
+  double decay_s = 1.5;
+  // Upper bound of the share: blocked tiers continue within three seconds after
+  // the last rejection.
+  double max_rejected_share = 0.12;
 };
 
-// Of one service. Thread safety: loop thread only.
+// Admission by tier at one service. Thread safety: loop thread only.
 class TierGuard {
  public:
   explicit TierGuard(const TierGuardPolicy& policy) : policy_(policy) {}
 
-  // A request of `tier` got a place, or was turned away for want of one.
-  void NotePlace(Tier tier, TimePoint now) { Note(tier, false, now); }
-  void NoteTurnedAway(Tier tier, TimePoint now) { Note(tier, true, now); }
-  // Whether a request of `tier` may begin.
+  // Record that a request of `tier` got a slot, or was rejected for lack of
+  // one.
+  void NotePlace(Tier tier, TimePoint now) { RecordOutcome(tier, false, now); }
+  void NoteTurnedAway(Tier tier, TimePoint now) {
+    RecordOutcome(tier, true, now);
+  }
+  // Returns whether a request of `tier` may start.
   bool Admits(Tier tier, TimePoint now) const;
-  // The most urgent tier that is being turned away, or nothing.
+  // Returns whether any tier counts as rejected, and sets `*tier` to the most
+  // urgent one.
   bool TurningAway(TimePoint now, Tier* tier) const;
 
  private:
-  struct Share {
-    double turned_away = 0;
+  struct RejectedShare {
+    double value = 0;
     TimePoint at{};
   };
-  void Note(Tier tier, bool turned_away, TimePoint now);
-  double Now(const Share& s, TimePoint now) const;
+  void RecordOutcome(Tier tier, bool rejected, TimePoint now);
+  // Returns the decayed share at `now`.
+  double CurrentShare(const RejectedShare& s, TimePoint now) const;
 
   TierGuardPolicy policy_;
-  std::map<Tier, Share> shares_;
+  std::map<Tier, RejectedShare> shares_;
 };
 
 }  // namespace medlarwalk
--- a/src/policy/upstream_list.cc
+++ b/src/policy/upstream_list.cc
@@ -10,7 +10,8 @@
 namespace medlarwalk {
 namespace {
 
-// Each text behind its length, so that no two upstreams read alike.
+// Prefixes each text with its length, so that different upstreams never yield
+// the same input.
 uint64_t HashOf(const UpstreamInfo& u) {
   std::string text;
   for (const std::string* s :
@@ -22,15 +23,15 @@
   return StableHash(text);
 }
 
-// Never 0, which stands for no list.
-int64_t VersionOf(uint64_t sum, size_t n) {
-  std::array<uint64_t, 2> both = {sum, n};
+// Returns the version of a list. Never 0, which stands for no list.
+int64_t VersionOf(uint64_t sum, size_t entry_count) {
+  std::array<uint64_t, 2> both = {sum, entry_count};
   uint64_t h = StableHash(absl::string_view(
       reinterpret_cast<const char*>(both.data()), sizeof(both)));
   return std::max<int64_t>(1, static_cast<int64_t>(h >> 1));
 }
 
-bool Same(const UpstreamInfo& a, const UpstreamInfo& b) {
+bool SameInfo(const UpstreamInfo& a, const UpstreamInfo& b) {
   return a.id == b.id && a.born == b.born && a.service == b.service &&
          a.address == b.address && a.data_centre == b.data_centre &&
          a.leaving == b.leaving && a.slots == b.slots;
@@ -50,41 +51,43 @@
   return out;
 }
 
-UpstreamList::Total UpstreamList::After(const ListChange& c) const {
-  // Sums of unsigned numbers wrap, and come back the way they went.
-  Total t = total_;
+UpstreamList::Digest UpstreamList::DigestAfter(const ListChange& c) const {
+  // Unsigned sums wrap around, so subtracting a hash reverts its addition
+  // exactly.
+  Digest t = digest_;
   std::set<absl::string_view> seen;
   auto drop = [&](const std::string& id) {
     auto it = upstreams_.find(id);
     if (it == upstreams_.end()) return;
     t.sum -= it->second.hash;
-    --t.n;
+    --t.entry_count;
   };
   for (const std::string& id : c.gone) {
     if (seen.insert(id).second) drop(id);
   }
   for (const UpstreamInfo& u : c.changed) {
-    // One id twice is no change that was ever made: it leads nowhere.
-    if (!seen.insert(u.id).second) return {~total_.sum, 0};
+    // A valid change contains no id twice: returns a digest that matches no
+    // version.
+    if (!seen.insert(u.id).second) return {~digest_.sum, 0};
     drop(u.id);
     t.sum += HashOf(u);
-    ++t.n;
+    ++t.entry_count;
   }
   return t;
 }
 
-void UpstreamList::Commit(const ListChange& c, Total after) {
+void UpstreamList::Commit(const ListChange& c, Digest digest) {
   for (const std::string& id : c.gone) upstreams_.erase(id);
   for (const UpstreamInfo& u : c.changed) {
     upstreams_[u.id] = Entry{u, HashOf(u)};
   }
-  total_ = after;
+  digest_ = digest;
   version_ = c.to;
 }
 
-ListChange UpstreamList::Replace(std::vector<UpstreamInfo> reading) {
+ListChange UpstreamList::Replace(std::vector<UpstreamInfo> full_list) {
   std::map<std::string, UpstreamInfo> fresh;
-  for (UpstreamInfo& u : reading) {
+  for (UpstreamInfo& u : full_list) {
     auto [it, added] = fresh.try_emplace(u.id, u);
     if (!added && u.born >= it->second.born) it->second = std::move(u);
   }
@@ -95,11 +98,11 @@
   }
   for (auto& [id, u] : fresh) {
     const UpstreamInfo* known = Find(id);
-    if (!known || !Same(*known, u)) c.changed.push_back(std::move(u));
+    if (!known || !SameInfo(*known, u)) c.changed.push_back(std::move(u));
   }
-  Total after = After(c);
-  c.to = VersionOf(after.sum, after.n);
-  Commit(c, after);
+  Digest digest = DigestAfter(c);
+  c.to = VersionOf(digest.sum, digest.entry_count);
+  Commit(c, digest);
   return c;
 }
 
@@ -112,29 +115,29 @@
     return true;
   }
   if (change.from != version_) return false;
-  Total after = After(change);
-  if (VersionOf(after.sum, after.n) != change.to) return false;
-  Commit(change, after);
+  Digest digest = DigestAfter(change);
+  if (VersionOf(digest.sum, digest.entry_count) != change.to) return false;
+  Commit(change, digest);
   return true;
 }
 
-bool ListHistory::Replace(std::vector<UpstreamInfo> reading) {
-  ListChange c = list_.Replace(std::move(reading));
+bool ListHistory::Replace(std::vector<UpstreamInfo> full_list) {
+  ListChange c = list_.Replace(std::move(full_list));
   if (c.from == c.to) return false;
-  Note(c);
+  RecordChange(c);
   return true;
 }
 
 bool ListHistory::Apply(const ListChange& change) {
   if (!list_.Apply(change)) return false;
-  Note(change);
+  RecordChange(change);
   return true;
 }
 
-void ListHistory::Note(const ListChange& change) {
+void ListHistory::RecordChange(const ListChange& change) {
   encoded_.clear();
   if (change.from == 0) {
-    // Nobody's version leads here by what is known.
+    // An applied whole list has no known path from earlier versions.
     steps_.clear();
     step_entries_ = 0;
     return;
@@ -145,30 +148,31 @@
   for (const UpstreamInfo& u : change.changed) s.ids.push_back(u.id);
   step_entries_ += s.ids.size();
   steps_.push_back(std::move(s));
-  size_t most = std::max(most_entries_, list_.size() / 2);
-  while (!steps_.empty() && step_entries_ > most) {
+  size_t max_step_entries = std::max(max_entries_, list_.size() / 2);
+  while (!steps_.empty() && step_entries_ > max_step_entries) {
     step_entries_ -= steps_.front().ids.size();
     steps_.pop_front();
   }
 }
 
-// The last change made to the list of version `held`, if it is still known.
-std::deque<ListHistory::Step>::const_iterator ListHistory::StepFrom(
-    int64_t held) const {
+// Returns the latest kept change made to the list of version `held_version`, or
+// the end.
+std::deque<ListHistory::Step>::const_iterator ListHistory::FindStepFrom(
+    int64_t held_version) const {
   auto it = std::find_if(steps_.rbegin(), steps_.rend(),
-                         [&](const Step& s) { return s.from == held; });
+                         [&](const Step& s) { return s.from == held_version; });
   return it == steps_.rend() ? steps_.end() : std::prev(it.base());
 }
 
-ListChange ListHistory::Since(int64_t held) const {
+ListChange ListHistory::Since(int64_t held_version) const {
   ListChange c;
   c.to = version();
-  auto step = StepFrom(held);
+  auto step = FindStepFrom(held_version);
   if (step == steps_.end()) {
     c.changed = list_.All();
     return c;
   }
-  c.from = held;
+  c.from = held_version;
   std::set<absl::string_view> ids;
   for (; step != steps_.end(); ++step) {
     ids.insert(step->ids.begin(), step->ids.end());
@@ -184,10 +188,10 @@
   return c;
 }
 
-Document ListHistory::EncodedSince(int64_t held) {
-  if (!Knows(held)) held = 0;
-  Document& d = encoded_[held];
-  if (!d) d = encode_(Since(held));
+Document ListHistory::EncodedSince(int64_t held_version) {
+  if (!Knows(held_version)) held_version = 0;
+  Document& d = encoded_[held_version];
+  if (!d) d = encode_(Since(held_version));
   return d;
 }
 
--- a/src/policy/upstream_list.h
+++ b/src/policy/upstream_list.h
@@ -1,13 +1,13 @@
-// The list of upstreams: which exist, where, and whether they are leaving; and
-// the differences by which it spreads.
+// The list of upstreams (which exist, where, and whether they are draining) and
+// the differences by which it is distributed.
 //
 // Load pattern: thousands of upstreams, of which a few change every second, and
-// hundreds of processes that all must know. Sent whole at each change the list
-// of 3,000 took 2.7 MB a second at its busiest sender; what is sent now grows
-// with what has changed. A process that joined a difference to another list
-// than it was made from would route by a list that never was, unnoticed for
-// good: so a version tells the contents, and what comes of each join is checked
-// against it.
+// hundreds of processes that need the list. Sending the whole list of 3,000
+// upstreams at each change costs the busiest sender 2.7 MB/s; the cost of
+// differences grows only with the changes. A process that applies a difference
+// to the wrong base list would route by a list that never existed, permanently
+// and unnoticed. Therefore the version is a hash of the contents, and the
+// result of every applied difference is checked against it.
 #ifndef MEDLARWALK_UPSTREAM_LIST_H_
 #define MEDLARWALK_UPSTREAM_LIST_H_
 
@@ -29,48 +29,50 @@
 
 // One running incarnation of an upstream.
 struct UpstreamInfo {
-  std::string id;    // New for most starts.
-  int64_t born = 0;  // When it started, Unix milliseconds; 0 where not said.
+  std::string id;    // Usually new at each start.
+  int64_t born = 0;  // Start time, Unix milliseconds; 0: unknown.
   std::string service;
   Endpoint address;
   std::string data_centre;
-  bool leaving = false;  // Takes no new work.
-  int slots = 1;
+  bool leaving = false;  // Draining: takes no new requests.
+  int slots = 1;         // Requests that it runs at once.
 };
 
-// Whether `fresh` is another start of the upstream that `known` was: it then
-// knows nothing of what `known` held or ran.
+// Returns whether `fresh` is a later start of the upstream that was known as
+// `known`. A restarted upstream has lost the cache and the requests of `known`.
 inline bool StartedAgain(const UpstreamInfo& known, const UpstreamInfo& fresh) {
   if (known.born && fresh.born) return fresh.born > known.born;
   return !(known.address == fresh.address);
 }
 
-// What leads from one list to another.
+// A difference between two versions of the list.
 struct ListChange {
-  int64_t from = 0;  // Version of the list it is for; 0: any, it is whole.
-  int64_t to = 0;    // Version of the list it leads to.
-  std::vector<UpstreamInfo> changed;  // New ones too.
-  std::vector<std::string> gone;
+  // Version of the base list; 0: none, `changed` is the whole list.
+  int64_t from = 0;
+  int64_t to = 0;                     // Version of the resulting list.
+  std::vector<UpstreamInfo> changed;  // Changed and added upstreams.
+  std::vector<std::string> gone;      // Ids of removed upstreams.
 };
 
-// A list of upstreams, each id once, with a version that tells its contents:
-// two processes that hold the same upstreams hold the same version, whoever
-// read them and in whatever order. Thread safety: none.
+// A list of upstreams with unique ids and a version that is a hash of its
+// contents: two processes with the same upstreams have the same version,
+// whatever the order of updates. Thread safety: none.
 class UpstreamList {
  public:
-  // 0 until anything was taken over.
+  // Returns 0 before the first update.
   int64_t version() const { return version_; }
   size_t size() const { return upstreams_.size(); }
-  // nullptr where there is none of that id.
+  // Returns the upstream of that id, or nullptr.
   const UpstreamInfo* Find(const std::string& id) const;
-  // By id.
+  // Returns all upstreams, sorted by id.
   std::vector<UpstreamInfo> All() const;
 
-  // Takes over a whole reading, and returns what differs. Of two entries of
-  // one id the later born stands, else the last.
-  ListChange Replace(std::vector<UpstreamInfo> reading);
-  // Takes over a change made elsewhere. False, and nothing is changed, when it
-  // is for another list than this or does not lead to the version it names.
+  // Replaces the contents and returns the difference. Of two entries with one
+  // id, the later start wins; of equal starts, the last entry.
+  ListChange Replace(std::vector<UpstreamInfo> full_list);
+  // Applies a difference made by another process. Returns false and changes
+  // nothing if the difference is for another base list or its result has
+  // another version than stated.
   bool Apply(const ListChange& change);
 
  private:
@@ -78,60 +80,65 @@
     UpstreamInfo info;
     uint64_t hash = 0;
   };
-  // Sum of the entries' hashes, and their number, once `c` is applied.
-  struct Total {
+  // Sum of the hashes of all entries, and their number.
+  struct Digest {
     uint64_t sum = 0;
-    size_t n = 0;
+    size_t entry_count = 0;
   };
-  Total After(const ListChange& c) const;
-  void Commit(const ListChange& c, Total after);
+  // Returns the digest that the list will have after `c`.
+  Digest DigestAfter(const ListChange& c) const;
+  void Commit(const ListChange& c, Digest digest);
 
   std::map<std::string, Entry> upstreams_;
-  Total total_;
+  Digest digest_;
   int64_t version_ = 0;
 };
 
-// The newest list, and the changes of late that led to it: what those who hold
-// an earlier one are told. Thread safety: none.
+// The newest list and the recent changes that led to it, from which holders of
+// an earlier version get a difference. Thread safety: none.
 class ListHistory {
  public:
   using Encode = std::function<Document(const ListChange&)>;
 
-  // Keeps changes of up to `most_entries` upstreams together, or of a half of
-  // the list where that is more.
-  ListHistory(size_t most_entries, Encode encode)
-      : most_entries_(most_entries), encode_(std::move(encode)) {}
+  // Keeps the changes of up to `max_entries` upstreams, or of half of the list
+  // if that is more. `encode`: encodes a change for sending.
+  ListHistory(size_t max_entries, Encode encode)
+      : max_entries_(max_entries), encode_(std::move(encode)) {}
 
   const UpstreamList& list() const { return list_; }
   int64_t version() const { return list_.version(); }
-  // Takes over a whole reading; whether anything differs.
-  bool Replace(std::vector<UpstreamInfo> reading);
-  // Takes over a change made elsewhere; false when it does not fit.
+  // Replaces the list. Returns whether anything changed.
+  bool Replace(std::vector<UpstreamInfo> full_list);
+  // Applies a difference made by another process. Returns false if it does not
+  // fit the list.
   bool Apply(const ListChange& change);
 
-  // Whether the way from the version `held` is known.
-  bool Knows(int64_t held) const { return StepFrom(held) != steps_.end(); }
-  // What one who holds the version `held` lacks: the whole list where the
-  // way from there is not known any more.
-  ListChange Since(int64_t held) const;
-  // The same, encoded once for all who hold it. Precondition: held !=
-  // version().
-  Document EncodedSince(int64_t held);
+  // Returns whether the changes since the version `held_version` are still
+  // kept.
+  bool Knows(int64_t held_version) const {
+    return FindStepFrom(held_version) != steps_.end();
+  }
+  // Returns the difference from the version `held_version` to the newest list,
+  // or the whole list if the changes since then are not kept.
+  ListChange Since(int64_t held_version) const;
+  // Returns Since(held_version) encoded, cached for all holders of that
+  // version. Precondition: held_version != version().
+  Document EncodedSince(int64_t held_version);
 
  private:
   struct Step {
     int64_t from = 0;
-    std::vector<std::string> ids;  // Changed or gone.
+    std::vector<std::string> ids;  // Changed or removed upstreams.
   };
-  void Note(const ListChange& change);
-  std::deque<Step>::const_iterator StepFrom(int64_t held) const;
+  void RecordChange(const ListChange& change);
+  std::deque<Step>::const_iterator FindStepFrom(int64_t held_version) const;
 
-  size_t most_entries_;
+  size_t max_entries_;
   Encode encode_;
   UpstreamList list_;
-  std::deque<Step> steps_;  // Oldest first; the last leads to list_.
-  size_t step_entries_ = 0;
-  // By the version held; 0: the whole list.
+  std::deque<Step> steps_;   // Oldest first; the last results in list_.
+  size_t step_entries_ = 0;  // Total number of ids in steps_.
+  // Encoded differences by the version they start from; 0: the whole list.
   std::unordered_map<int64_t, Document> encoded_;
 };
 
--- a/test/policy/part_memory_test.cc
+++ b/test/policy/part_memory_test.cc
@@ -1,4 +1,4 @@
-// Where prompt parts are believed to be kept.
+// Tests of the table of prompt parts and the engines that hold them.
 #include "part_memory.h"
 
 #include "CppUTest/TestHarness.h"
@@ -17,10 +17,11 @@
 
 TEST_GROUP(part_memory){};
 
-// Symptom: the same parts are read again on engine after engine. The longest
-// leading run decides which engine to copy from: the subject's if it was
-// seen, else the document's; a request's own part is never shared.
-TEST(part_memory, TheLongestLeadingRunDecides) {
+// Failure: the same parts are prefilled on one engine after another. The
+// longest leading run decides which engine to copy from: the engine of the
+// subject if it is known, else that of the document. The last part of a request
+// is never shared.
+TEST(part_memory, FindsTheLongestLeadingRun) {
   PartMemory m(std::chrono::seconds(10), 100);
   STRCMP_EQUAL("", m.Holder(Parts(1, 2, 3), kNow).engine.c_str());
   m.Note(Parts(1, 2, 3), "i-a", kNow);
@@ -33,9 +34,9 @@
   STRCMP_EQUAL("", m.Holder(Parts(8, 3, 9), kNow).engine.c_str());
 }
 
-// What was seen too long ago, or at an engine that ended, is not believed;
-// the memory stays bounded whatever callers send.
-TEST(part_memory, ForgetsAndStaysBounded) {
+// Parts that are too old or at a terminated engine are ignored, and the table
+// stays bounded for any input.
+TEST(part_memory, RemovesOldPartsAndStaysBounded) {
   PartMemory m(std::chrono::seconds(10), 100);
   m.Note(Parts(1, 2, 3), "i-a", kNow);
   STRCMP_EQUAL(
--- a/test/policy/reading_gate_test.cc
+++ b/test/policy/reading_gate_test.cc
@@ -1,4 +1,4 @@
-// How many long prompts an entry keeps under way.
+// Tests of the limit of concurrent prefills of an entry.
 #include "reading_gate.h"
 
 #include <deque>
@@ -9,11 +9,11 @@
 
 TEST_GROUP(reading_gate){};
 
-// Symptom: at the worst load every long prompt is late. Load pattern: 24
-// entries, 38 engines, prompts for half as many again; each entry sees one
-// engine every few seconds. The limit falls until first events are in time
-// and rises again only while it binds.
-TEST(reading_gate, FollowsTheFirstEventsOfAllEngines) {
+// Failure: at the highest load every long prompt is late. Load pattern: 24
+// entries, 38 engines, prompts at 1.5 times the capacity; each entry uses a
+// single engine only every few seconds. The limit must fall until first events
+// are in time, and rise again only while it is reached.
+TEST(reading_gate, LimitFollowsFirstEventsOfAllEngines) {
   ReadingGatePolicy policy;
   ReadingGate gate(policy);
   for (int i = 0; i < 100; ++i) gate.NoteFirstEvent(Millis(900), Millis(1000));
@@ -28,10 +28,10 @@
   CHECK_TRUE(gate.limit() > low + 2);
 }
 
-// Symptom: a class is turned away while a less urgent one is served. Load
-// pattern: both over capacity at once. The less urgent ones under way do not
-// close the gate to the more urgent ones; the other way round they do.
-TEST(reading_gate, LessUrgentOnesDoNotTurnMoreUrgentOnesAway) {
+// Failure: a class is rejected while a less urgent one is served. Load pattern:
+// both exceed the capacity at once. Less urgent prompts in flight must not
+// block more urgent ones; more urgent ones do block less urgent ones.
+TEST(reading_gate, LessUrgentPromptsDoNotBlockMoreUrgentOnes) {
   ReadingGatePolicy policy;
   ReadingGate gate(policy);
   while (gate.open(2)) gate.Sent(2);
@@ -42,8 +42,8 @@
   CHECK_FALSE(gate.open(1));
 }
 
-// Late ones among many in time do not close it.
-TEST(reading_gate, AFewLateOnesDoNotCloseIt) {
+// A few late first events among many timely ones do not block prompts.
+TEST(reading_gate, FewLateFirstEventsDoNotBlockPrompts) {
   ReadingGatePolicy policy;
   ReadingGate gate(policy);
   for (int i = 0; i < 300; ++i) {
@@ -53,42 +53,42 @@
   CHECK_TRUE(gate.limit() > policy.start / 2);
 }
 
-// Symptom: streams that began in time are cut at their deadline. Load pattern:
-// more long prompts than an engine reads, ten a second of 100 ms each against
-// twelve, for a minute; a token made beside a prompt takes ten times as long.
-// Cause: a limit that lets prompts queue at the engine for half of their target
-// has it read without a pause. The limit must keep that queue short and the
-// engine at work.
+// Failure: streams that began in time are cut at their deadline. Load pattern:
+// for a minute, twelve long prompts per second at an engine that prefills ten
+// per second, 100 ms each; a token decoded during a prefill takes ten times as
+// long. Cause: a limit that lets prompts queue at the engine for half of their
+// target keeps it in prefill without a break. The limit must keep that queue
+// short and the engine busy.
 TEST(reading_gate, KeepsTheQueueAtTheEngineShort) {
-  constexpr auto kRead = Millis(100);
+  constexpr auto kPrefillTime = Millis(100);
   constexpr auto kTarget = Millis(2000);
-  constexpr auto kComes = Millis(83);
+  constexpr auto kArrivalInterval = Millis(83);
   ReadingGate gate(ReadingGatePolicy{});
-  std::deque<TimePoint> queue;  // When each was sent.
+  std::deque<TimePoint> queue;  // Send times.
   TimePoint now{};
-  TimePoint done{};
-  Duration queued{};
-  int read = 0;
-  TimePoint comes{};
+  TimePoint prefill_done{};
+  Duration total_latency{};
+  int prefilled = 0;
+  TimePoint next_arrival{};
   for (; now < TimePoint{} + std::chrono::seconds(60); now += Millis(1)) {
-    if (now >= comes) {
-      comes += kComes;
+    if (now >= next_arrival) {
+      next_arrival += kArrivalInterval;
       if (gate.open(0)) {
-        if (queue.empty()) done = now + kRead;
+        if (queue.empty()) prefill_done = now + kPrefillTime;
         gate.Sent(0);
         queue.push_back(now);
       }
     }
-    if (queue.empty() || now < done) continue;
+    if (queue.empty() || now < prefill_done) continue;
     Duration took = now - queue.front();
     queue.pop_front();
     gate.Ended(0);
     gate.NoteFirstEvent(took, kTarget);
-    if (!queue.empty()) done = now + kRead;
+    if (!queue.empty()) prefill_done = now + kPrefillTime;
     if (now < TimePoint{} + std::chrono::seconds(30)) continue;
-    queued += took;
-    ++read;
+    total_latency += took;
+    ++prefilled;
   }
-  CHECK_TRUE(read > 285);  // Of 300 that it can read in that time.
-  CHECK_TRUE(queued / read < kTarget * 35 / 100);
+  CHECK_TRUE(prefilled > 285);  // Of the 300 possible in that time.
+  CHECK_TRUE(total_latency / prefilled < kTarget * 35 / 100);
 }
--- a/test/policy/tier_guard_test.cc
+++ b/test/policy/tier_guard_test.cc
@@ -1,4 +1,4 @@
-// Which tiers may begin work while others are turned away.
+// Tests of admission by tier while a tier has rejections.
 #include "tier_guard.h"
 
 #include <random>
@@ -17,12 +17,12 @@
 
 TEST_GROUP(tier_guard){};
 
-// Symptom: 74% of a tier are refused while the tier below it begins work every
-// second. Load pattern: a burst of six times the traffic at one entry; requests
-// of tier 1 wait for 80 ms, those of tier 2 for 150 ms. Sequence: all of tier 1
-// that wait give up; the place that comes free next finds only tier 2 waiting.
-// A tier that is being turned away keeps what is less urgent out.
-TEST(tier_guard, NoPlaceGoesToALessUrgentTierWhileOneIsTurnedAway) {
+// Failure: 74% of a tier are rejected while the tier below it starts requests
+// every second. Load pattern: a burst of six times the traffic at one entry;
+// requests of tier 1 wait for 80 ms, those of tier 2 for 150 ms. Sequence: all
+// waiting requests of tier 1 expire; the next free slot finds only tier 2
+// waiting. A tier with rejections must block less urgent tiers.
+TEST(tier_guard, NoSlotGoesToALessUrgentTierDuringRejections) {
   for (bool guarded : {false, true}) {
     std::mt19937 random(7);
     TierGuard guard(kPolicy);
@@ -30,43 +30,43 @@
       Tier tier;
       TimePoint until;
     };
-    std::vector<Waiting> room;
-    int begun[3] = {};
-    int refused[3] = {};
+    std::vector<Waiting> queue;
+    int started[3] = {};
+    int rejected[3] = {};
     TimePoint now = kNow;
     for (int ms = 0; ms < 10000; ++ms, now += Millis(1)) {
-      if (random() % 38 == 0) room.push_back({1, now + Millis(80)});
-      if (random() % 27 == 0) room.push_back({2, now + Millis(150)});
-      std::stable_sort(room.begin(), room.end(),
+      if (random() % 38 == 0) queue.push_back({1, now + Millis(80)});
+      if (random() % 27 == 0) queue.push_back({2, now + Millis(150)});
+      std::stable_sort(queue.begin(), queue.end(),
                        [](auto& a, auto& b) { return a.tier < b.tier; });
-      for (size_t i = 0; i < room.size();) {
-        if (now < room[i].until) {
+      for (size_t i = 0; i < queue.size();) {
+        if (now < queue[i].until) {
           ++i;
           continue;
         }
-        guard.NoteTurnedAway(room[i].tier, now);
-        ++refused[room[i].tier];
-        room.erase(room.begin() + static_cast<long>(i));
+        guard.NoteTurnedAway(queue[i].tier, now);
+        ++rejected[queue[i].tier];
+        queue.erase(queue.begin() + static_cast<long>(i));
       }
-      bool place = random() % 80 == 0;
-      if (!place || room.empty()) continue;
-      Tier first = room[0].tier;
+      bool slot_free = random() % 80 == 0;
+      if (!slot_free || queue.empty()) continue;
+      Tier first = queue[0].tier;
       if (guarded && !guard.Admits(first, now)) continue;
       guard.NotePlace(first, now);
-      ++begun[first];
-      room.erase(room.begin());
+      ++started[first];
+      queue.erase(queue.begin());
     }
-    CHECK_TRUE(refused[1] > 100);
+    CHECK_TRUE(rejected[1] > 100);
     if (guarded) {
-      CHECK_TRUE(begun[2] <= 2);  // Before the first was turned away.
+      CHECK_TRUE(started[2] <= 2);  // Before the first rejection.
     } else {
-      CHECK_TRUE(begun[2] > 5);
+      CHECK_TRUE(started[2] > 5);
     }
   }
 }
 
-// What is as urgent, or more, is not kept out.
-TEST(tier_guard, MoreUrgentTiersGoOn) {
+// A tier with rejections does not block itself or more urgent tiers.
+TEST(tier_guard, SameAndMoreUrgentTiersContinue) {
   TierGuard guard(kPolicy);
   CHECK_TRUE(guard.Admits(5, kNow));
   for (int i = 0; i < 5; ++i) guard.NoteTurnedAway(2, kNow);
@@ -78,23 +78,24 @@
   CHECK_FALSE(guard.Admits(3, kNow));
 }
 
-// Symptom: a class gets nothing for seconds though engines are free. Sequence:
-// a burst of the tier above it has ended; nobody of that tier is turned away
-// any more, or comes at all. Three seconds after the last the others go on.
-TEST(tier_guard, ForgetsABurstSoon) {
-  for (bool more_come : {false, true}) {
+// Failure: a class gets nothing for seconds although engines are free.
+// Sequence: a burst of the tier above it has ended; that tier has no more
+// rejections or no more requests at all. The others must continue three seconds
+// after the last rejection.
+TEST(tier_guard, BlockEndsSoonAfterABurst) {
+  for (bool more_arrive : {false, true}) {
     TierGuard guard(kPolicy);
     for (int i = 0; i < 500; ++i) guard.NoteTurnedAway(0, kNow);
     CHECK_FALSE(guard.Admits(1, kNow + Millis(1000)));
-    for (int ms = 0; more_come && ms < 3000; ms += 300) {
+    for (int ms = 0; more_arrive && ms < 3000; ms += 300) {
       guard.NotePlace(0, kNow + Millis(ms));
     }
     CHECK_TRUE(guard.Admits(1, kNow + Millis(3000)));
   }
 }
 
-// One request lost among very many keeps nobody out for long.
-TEST(tier_guard, OneAmongManyIsNoBurst) {
+// One rejection among very many requests blocks nobody for long.
+TEST(tier_guard, OneRejectionAmongManyDoesNotBlock) {
   TierGuard guard(kPolicy);
   TimePoint now = kNow;
   for (int i = 0; i < 200; ++i) guard.NotePlace(0, now += Millis(10));
@@ -103,9 +104,9 @@
   CHECK_TRUE(guard.Admits(1, now));
 }
 
-// When the reading limit binds, it is the least urgent prompts that wait: the
-// more urgent ones still find room.
-TEST(tier_guard, UrgentPromptsFindRoomWhereTheLimitBinds) {
+// When the prefill limit is reached, only the least urgent prompts wait; more
+// urgent ones still find room.
+TEST(tier_guard, UrgentPromptsFindRoomAtThePrefillLimit) {
   ReadingGatePolicy policy;
   ReadingGate gate(policy);
   gate.Sent(2);
--- a/test/policy/upstream_list_test.cc
+++ b/test/policy/upstream_list_test.cc
@@ -1,5 +1,5 @@
-// The list of upstreams and the differences by which it spreads, against
-// sending the whole list each time.
+// Tests of the upstream list and of its distribution by differences, compared
+// with sending the whole list.
 #include "upstream_list.h"
 
 #include <algorithm>
@@ -30,7 +30,7 @@
   return out;
 }
 
-std::string Text(const std::vector<UpstreamInfo>& list) {
+std::string ListText(const std::vector<UpstreamInfo>& list) {
   std::string out;
   for (const UpstreamInfo& u : list) {
     absl::StrAppend(&out, u.id, " ", u.born, " ", u.service, " ",
@@ -40,7 +40,7 @@
   return out;
 }
 
-// A fleet in which upstreams come, go, leave and start again.
+// Simulates a fleet whose upstreams are added, removed, drained and restarted.
 class Fleet {
  public:
   explicit Fleet(uint32_t seed) : random_(seed) {
@@ -82,9 +82,9 @@
 
 TEST_GROUP(upstream_list){};
 
-// Two processes that read the same upstreams, in whatever order and by
-// whatever way, hold the same version; any difference is another version.
-TEST(upstream_list, TheVersionTellsTheContents) {
+// Two processes with the same upstreams have the same version, whatever the
+// order of updates; any difference changes the version.
+TEST(upstream_list, VersionDependsOnContentsOnly) {
   UpstreamList a;
   UpstreamList b;
   CHECK_EQUAL(0, a.version());
@@ -109,75 +109,75 @@
   }
 }
 
-// An empty list is one that was read.
-TEST(upstream_list, AnEmptyReadingHasAVersion) {
+// An empty list that was received differs from no list.
+TEST(upstream_list, EmptyListHasAVersion) {
   UpstreamList a;
   a.Replace({});
   CHECK_TRUE(a.version() != 0);
 }
 
-// Differences reach two followers through the codec, some lost, some twice,
-// some out of order; the followers then ask with the version they hold, at
-// either of two sources of which one was away for a while. Whatever they hold
-// is a list that was, and in the end it is the newest.
-TEST(upstream_list, DifferencesLeadToWhatTheWholeListWould) {
-  int by_difference = 0;
+// Differences are sent to two followers through the codec; some are lost,
+// duplicated or reordered. The followers request updates from their version on
+// at either of two sources, one of which misses updates for a while. A follower
+// must always hold a list that existed, and finally the newest one.
+TEST(upstream_list, DifferencesYieldTheSameListAsFullUpdates) {
+  int applied_differences = 0;
   for (uint32_t seed = 1; seed <= 50; ++seed) {
     Fleet fleet(seed);
     std::mt19937& random = fleet.random();
     ListHistory source[2] = {History(), History()};
     UpstreamList follower[2];
-    std::deque<Document> on_the_way[2];
+    std::deque<Document> in_transit[2];
     std::string newest;
-    auto take = [&](int f, const Document& d) {
+    auto deliver = [&](int f, const Document& d) {
       absl::StatusOr<ListChange> c = DecodeListChange(*d);
       CHECK_TRUE(c.ok());
-      if (follower[f].Apply(*c) && c->from != 0) ++by_difference;
+      if (follower[f].Apply(*c) && c->from != 0) ++applied_differences;
     };
     for (int step = 0; step < 60; ++step) {
       const std::vector<UpstreamInfo>& now = fleet.Step();
       UpstreamList whole;
       whole.Replace(now);
-      newest = Text(whole.All());
+      newest = ListText(whole.All());
       source[0].Replace(now);
-      bool away = step > 20 && step < 40;
-      if (!away) source[1].Replace(now);
+      bool disconnected = step > 20 && step < 40;
+      if (!disconnected) source[1].Replace(now);
       for (int f = 0; f < 2; ++f) {
         ListHistory& s = source[random() % 2];
         if (follower[f].version() != s.version()) {
-          on_the_way[f].push_back(s.EncodedSince(follower[f].version()));
+          in_transit[f].push_back(s.EncodedSince(follower[f].version()));
         }
-        while (!on_the_way[f].empty() && random() % 3 != 0) {
-          size_t at = random() % on_the_way[f].size();
-          Document d = on_the_way[f][at];
-          if (random() % 5 != 0) take(f, d);
+        while (!in_transit[f].empty() && random() % 3 != 0) {
+          size_t at = random() % in_transit[f].size();
+          Document d = in_transit[f][at];
+          if (random() % 5 != 0) deliver(f, d);
           if (random() % 5 != 0) {
-            on_the_way[f].erase(on_the_way[f].begin() + at);
+            in_transit[f].erase(in_transit[f].begin() + at);
           }
         }
       }
     }
     for (int f = 0; f < 2; ++f) {
-      // Nothing is lost any more: at most one question, and another for the
-      // whole where the first answer did not fit.
+      // No more losses: one request suffices, plus one for the whole list if
+      // the first answer does not fit.
       if (follower[f].version() != source[0].version()) {
-        take(f, source[0].EncodedSince(follower[f].version()));
+        deliver(f, source[0].EncodedSince(follower[f].version()));
       }
-      STRCMP_EQUAL(newest.c_str(), Text(follower[f].All()).c_str());
+      STRCMP_EQUAL(newest.c_str(), ListText(follower[f].All()).c_str());
       CHECK_EQUAL(source[0].version(), follower[f].version());
     }
   }
-  CHECK_TRUE(by_difference > 500);
+  CHECK_TRUE(applied_differences > 500);
 }
 
-// A difference made from another list, or damaged on the way, is refused and
-// leaves what is held as it was.
-TEST(upstream_list, WhatDoesNotFitChangesNothing) {
+// A difference from another base list or a damaged one is rejected and leaves
+// the list unchanged.
+TEST(upstream_list, RejectedDifferenceChangesNothing) {
   ListHistory source = History();
   source.Replace(Upstreams(0, 20));
-  UpstreamList held;
-  CHECK_TRUE(held.Apply(source.Since(0)));
-  int64_t base = held.version();
+  UpstreamList follower_list;
+  CHECK_TRUE(follower_list.Apply(source.Since(0)));
+  int64_t base = follower_list.version();
   std::vector<UpstreamInfo> next = Upstreams(0, 20);
   next[3].leaving = true;
   next.pop_back();
@@ -192,19 +192,19 @@
   bad[2].changed[0].address.port = 9;
   bad[3].gone.clear();
   bad[4].changed.push_back(bad[4].changed[0]);
-  bad[5].from = 0;  // Said to be whole.
+  bad[5].from = 0;  // Claims to be the whole list.
   for (const ListChange& c : bad) {
-    CHECK_FALSE(held.Apply(c));
-    CHECK_EQUAL(base, held.version());
-    CHECK_EQUAL(20, held.size());
+    CHECK_FALSE(follower_list.Apply(c));
+    CHECK_EQUAL(base, follower_list.version());
+    CHECK_EQUAL(20, follower_list.size());
   }
-  CHECK_TRUE(held.Apply(good));
-  CHECK_FALSE(held.Apply(good));
+  CHECK_TRUE(follower_list.Apply(good));
+  CHECK_FALSE(follower_list.Apply(good));
 }
 
-// One who was away for longer than changes are kept is told the whole list,
-// and all who hold the same version are told the same bytes.
-TEST(upstream_list, OldVersionsAreToldTheWhole) {
+// A follower with a version older than the kept changes gets the whole list,
+// and all holders of one version get the same bytes.
+TEST(upstream_list, OldVersionsGetTheWholeList) {
   ListHistory source = History(4);
   source.Replace(Upstreams(0, 8));
   int64_t first = source.version();
@@ -222,8 +222,9 @@
   CHECK_TRUE(source.EncodedSince(first) == source.EncodedSince(0));
 }
 
-// A list that is again what it was: the newest way from there is told.
-TEST(upstream_list, AListThatCameBackIsToldFromItsLastTime) {
+// When a list returns to an earlier version, the difference starts from its
+// latest occurrence.
+TEST(upstream_list, RecurringVersionUsesItsLatestOccurrence) {
   ListHistory source = History();
   std::vector<UpstreamInfo> a = Upstreams(0, 8);
   std::vector<UpstreamInfo> b = a;
@@ -241,16 +242,16 @@
   STRCMP_EQUAL("u-5", c.changed[0].id.c_str());
 }
 
-// What the change of one upstream of 3,000 costs: its own bytes, not those of
-// the list.
-TEST(upstream_list, AChangeCostsItsOwnBytes) {
+// The difference for one changed upstream of 3,000 is small compared with the
+// list.
+TEST(upstream_list, DifferenceSizeDependsOnTheChange) {
   ListHistory source = History();
   std::vector<UpstreamInfo> list = Upstreams(0, 3000);
   source.Replace(list);
-  int64_t held = source.version();
+  int64_t held_version = source.version();
   size_t whole = source.EncodedSince(0)->size();
   list[1500].leaving = true;
   source.Replace(list);
-  CHECK_TRUE(source.EncodedSince(held)->size() < 200);
+  CHECK_TRUE(source.EncodedSince(held_version)->size() < 200);
   CHECK_TRUE(whole > 10'000);
 }
