--- a/src/policy/placement.cc
+++ b/src/policy/placement.cc
@@ -105,9 +105,10 @@
   s.score = LoadShare(u, now, policy);
   s.busy = s.score >= request.most_load || AtPrefillLimit(u, request, policy);
   if (request.shape != WorkShape::kPlain) {
-    bool kept_for_decode = u.rank < request.decode_engines;
-    s.shape_mismatch = request.decode_engines > 0 &&
-                       kept_for_decode != (request.shape == WorkShape::kDecode);
+    bool reserved_for_decode = u.rank < request.decode_engines;
+    s.shape_mismatch =
+        request.decode_engines > 0 &&
+        reserved_for_decode != (request.shape == WorkShape::kDecode);
     if (s.shape_mismatch) s.score += policy.shape_mismatch_cost;
     s.score += policy.prefill_weight * RemainingPrefillTokens(u, now, policy) /
                policy.prefill_rate / 1000.0;
@@ -249,7 +250,8 @@
     if (policy.blind && !s.busy) return s.index;
     if (!s.busy && (!best || s.score < best->score)) best = &s;
   }
-  // Busy upstreams do not justify the use of an ejected or silent one.
+  // If all usable upstreams are busy, the request waits; an ejected or silent
+  // upstream is no substitute.
   if (!best) return std::nullopt;
   if (!use_affinity) return best->index;
   // Chooses the first preferred engine within affinity_slack of the best score.
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -46,8 +46,8 @@
   TimePoint rest_until{};
   // The rate limit gives this process no send slot now.
   bool no_turn = false;
-  // Refused connections and broken answers in a row. They eject the upstream
-  // until `ejected_until`.
+  // Number of refused connections and broken answers in a row. Too many of them
+  // eject the upstream until `ejected_until`.
   int consecutive_failures = 0;
   TimePoint ejected_until{};
   // Share of answers that were failures, smoothed, and number of answers.
@@ -95,7 +95,7 @@
   Duration report_lifetime = std::chrono::seconds(2);
   // An upstream that holds the prompt's prefix is chosen while its load exceeds
   // the least loaded one's by at most this share of slots. A repeated prefill
-  // costs more than a few places in the batch.
+  // costs more than a few slots in the batch.
   double affinity_slack = 0.25;
   // A shared prefix with fewer tokens is prefilled again instead of waiting
   // for an engine that holds it.
@@ -236,8 +236,10 @@
 void NotePause(double gap_share, TimePoint now, const PlacementPolicy& policy,
                DecodeDemand* demand);
 
-// Returns how many of `engines` engines to reserve for long generations: at
-// least a sixth and at most half of them. `current`: the number so far.
+// Returns how many of `engines` engines to reserve for long generations: a
+// sixth to a half of them, at least a third while token gaps are near their
+// target, and none if there are fewer than split_from. `current`: the number so
+// far.
 int DecodeEngines(const DecodeDemand& demand, int current, int slots,
                   int engines, const PlacementPolicy& policy);
 
--- a/src/policy/reading_gate.h
+++ b/src/policy/reading_gate.h
@@ -28,8 +28,10 @@
   // every step: tokens then take ten times as long, and streams reach their
   // deadline.
   double late_share = 0.3;
-  double backoff_factor = 0.97;  // Factor for each late first event.
-  double limit_step = 0.2;       // Added for each timely one at the limit.
+  // Factor that lowers the limit at each late first event.
+  double backoff_factor = 0.97;
+  // Step that raises the limit at each timely first event while it is reached.
+  double limit_step = 0.2;
   // Factor of the limit for prompts more urgent than the least urgent tier seen
   // so far. At the limit only the least urgent prompts wait, instead of all
   // alike.
--- a/src/policy/retry_budget.h
+++ b/src/policy/retry_budget.h
@@ -41,7 +41,7 @@
     double share = ToSeconds(now - refilled_at_) / ToSeconds(a.window);
     refilled_at_ = now;
     tokens_ = std::min(tokens_ + capacity * share,
-                       capacity + a.ratio * kMaxSavedSends);
+                       capacity + a.ratio * kMaxSavedAttempts);
     if (tokens_ < 1) return false;
     tokens_ -= 1;
     return true;
@@ -49,7 +49,7 @@
 
  private:
   // Maximum number of first attempts whose earned retries are saved up.
-  static constexpr double kMaxSavedSends = 20;
+  static constexpr double kMaxSavedAttempts = 20;
   double tokens_ = 0;
   bool initialized_ = false;
   TimePoint refilled_at_;
--- a/src/policy/tier_guard.h
+++ b/src/policy/tier_guard.h
@@ -25,8 +25,8 @@
   // with this time constant, so that it fades when no more requests come.
   double smoothing_requests = 30;
   double decay_s = 1.5;
-  // Upper bound of the share: blocked tiers continue within three seconds after
-  // the last rejection.
+  // Upper bound of the rejected share. It lets blocked tiers continue within
+  // three seconds after the last rejection.
   double max_rejected_share = 0.12;
 };
 
@@ -35,9 +35,9 @@
  public:
   explicit TierGuard(const TierGuardPolicy& policy) : policy_(policy) {}
 
-  // Record that a request of `tier` got a slot, or was rejected for lack of
-  // one.
+  // Records that a request of `tier` got a slot.
   void NotePlace(Tier tier, TimePoint now) { RecordOutcome(tier, false, now); }
+  // Records that a request of `tier` was rejected for lack of a slot.
   void NoteTurnedAway(Tier tier, TimePoint now) {
     RecordOutcome(tier, true, now);
   }
--- a/src/policy/upstream_list.cc
+++ b/src/policy/upstream_list.cc
@@ -137,7 +137,7 @@
 void ListHistory::RecordChange(const ListChange& change) {
   encoded_.clear();
   if (change.from == 0) {
-    // An applied whole list has no known path from earlier versions.
+    // No kept change leads from an earlier version to a list received whole.
     steps_.clear();
     step_entries_ = 0;
     return;
--- a/src/policy/waiting.h
+++ b/src/policy/waiting.h
@@ -46,7 +46,7 @@
   uint64_t seq = 0;
   Tier tier = 0;
   TimePoint since{};  // Start of the wait.
-  TimePoint until{};  // Rejected at this time.
+  TimePoint until{};  // Rejected if still waiting then.
   std::string service;
 };
 
@@ -62,8 +62,8 @@
   // make room for it, if any. Errors: kOverloaded when the queue is full of
   // requests of the same or a more urgent tier, kTargetUnmeetable.
   absl::Status Enter(WaitingRequest w, std::optional<uint64_t>* shed);
-  // Removes a request that got a slot, and counts the slot towards the floor of
-  // starving requests.
+  // Removes a request that got a slot, and counts the slots that go to others
+  // while a request starves.
   void Served(uint64_t seq, TimePoint now);
   // Removes a request that got no slot.
   void Leave(uint64_t seq);
