--- a/src/caller_server.cc
+++ b/src/caller_server.cc
@@ -13,43 +13,45 @@
 namespace medlarwalk {
 namespace {
 
-// How often idle and slow callers are looked for.
+// Interval of the check for idle and slow callers.
 constexpr double kSweepSeconds = 0.25;
-// A caller that still sends after its request was refused is read no longer
-// than this many bytes.
-constexpr size_t kMaxPipelined = 1 << 20;
-// A connection idle for less is not closed to make room: its first request, or
-// the next one, may just be on its way.
-constexpr Millis kLeastIdle(20);
-// While newcomers wait, how often room is looked for.
-constexpr double kRoomSeconds = 0.025;
-// Of those that may be closed, this part goes at once: looking through all
-// connections for each newcomer would cost more than the newcomers.
-constexpr size_t kClosedAtOnce = 8;
-// Descriptors for links, listeners, logs and files.
-constexpr size_t kOwnDescriptors = 100;
+// Bytes that a caller may send ahead while its request is being answered. The
+// connection is closed beyond that.
+constexpr size_t kMaxUnparsedBytes = 1 << 20;
+// A connection that was idle for less time is not evicted, because its first or
+// next request may already be on its way.
+constexpr Millis kMinIdle(20);
+// Interval of eviction attempts while new callers wait.
+constexpr double kEvictionSeconds = 0.025;
+// One in this many evictable connections is closed at once. Scanning all
+// connections for each new caller would cost more than serving the callers.
+constexpr size_t kEvictOneIn = 8;
+// Descriptors reserved for links, listeners, logs and files.
+constexpr size_t kReservedDescriptors = 100;
 
 }  // namespace
 
-// One caller's connection: reads a request, waits for its answer, goes on.
+// One caller's connection. Reads a request, waits for its answer, then reads
+// the next one.
 class CallerConnection : public std::enable_shared_from_this<CallerConnection> {
  public:
   CallerConnection(CallerServer* server, std::shared_ptr<TcpConnection> tcp)
       : server_(server),
         tcp_(std::move(tcp)),
-        parser_(Http1Parser::Kind::kRequest, server->limits_.header_bytes,
-                server->limits_.body_bytes,
-                MessageSink{[this](MessageHead h) { OnHead(std::move(h)); },
-                            [this](absl::string_view d) {
-                              exchange_->body.append(d.data(), d.size());
-                            },
-                            [this] { request_done_ = true; }}),
-        since_(server->clock_.Now()) {}
+        parser_(
+            Http1Parser::Kind::kRequest, server->limits_.header_bytes,
+            server->limits_.body_bytes,
+            MessageSink{[this](MessageHead h) { OnRequestHead(std::move(h)); },
+                        [this](absl::string_view d) {
+                          exchange_->body.append(d.data(), d.size());
+                        },
+                        [this] { request_done_ = true; }}),
+        last_activity_(server->clock_.Now()) {}
 
   void Start() {
     TcpEvents e;
     e.on_data = [this](absl::string_view d) { shared_from_this()->OnData(d); };
-    e.on_closed = [this](absl::Status) { shared_from_this()->Drop(); };
+    e.on_closed = [this](absl::Status) { shared_from_this()->Disconnect(); };
     e.on_drained = [this] {
       auto self = shared_from_this();
       if (exchange_ && exchange_->on_drained_) exchange_->on_drained_();
@@ -57,8 +59,9 @@
     tcp_->set_events(std::move(e));
   }
 
-  // The caller left or the connection failed.
-  void Drop() {
+  // Closes the connection after the caller disconnected, the connection failed
+  // or a limit was exceeded, and notifies the handler of a request in progress.
+  void Disconnect() {
     auto self = shared_from_this();
     auto ex = std::move(exchange_);
     tcp_->Close();
@@ -73,27 +76,29 @@
   void Send(absl::string_view data) { tcp_->Write(data); }
   size_t unsent() const { return tcp_->unsent(); }
 
-  // The answer is complete.
-  void AnswerDone() {
+  // Closes the connection or prepares it for the next request after a complete
+  // answer.
+  void OnAnswerDone() {
     auto self = shared_from_this();
     DetachExchange();
     answering_ = false;
-    since_ = server_->clock_.Now();
+    last_activity_ = server_->clock_.Now();
     if (close_after_) {
       server_->connections_.erase(this);
       tcp_->CloseAfterWrites();
-      if (tcp_->open()) Linger();
+      if (tcp_->open()) KeepSocketUntilFlushed();
       return;
     }
-    NextRequest();
-    // Pipelined bytes are parsed from the loop, not from inside the answer.
-    if (!in_.empty()) Parse();
+    PrepareForNextRequest();
+    // Parses bytes of a pipelined request that are already buffered.
+    if (!unparsed_.empty()) ParseBuffered();
   }
 
-  // Ends the connection now, whatever was promised.
+  // Closes the connection now, without the end of the answer.
   void Abort() {
     auto self = shared_from_this();
-    // Without a length an orderly close would say that the answer is whole.
+    // In an answer without a length, an orderly close would mark it as
+    // complete.
     bool reset = exchange_ && exchange_->started_ && !exchange_->chunked_;
     DetachExchange();
     server_->connections_.erase(this);
@@ -102,30 +107,31 @@
       return;
     }
     tcp_->CloseAfterWrites();
-    if (tcp_->open()) Linger();
+    if (tcp_->open()) KeepSocketUntilFlushed();
   }
 
   bool busy() const { return answering_ || parser_.started(); }
-  TimePoint since() const { return since_; }
+  TimePoint last_activity() const { return last_activity_; }
   bool has_unread() const { return tcp_->HasUnread(); }
-  bool keep_open() const { return !close_after_; }
-  void MarkClose() { close_after_ = true; }
-  bool server_closing() const { return server_->closing_; }
+  bool keeps_open() const { return !close_after_; }
+  void CloseAfterThisAnswer() { close_after_ = true; }
+  bool server_closing() const { return server_->closing_after_answers_; }
 
-  // Closes what is idle or slow past its limit.
-  void Sweep(TimePoint now) {
+  // Closes the connection if it is idle or slow beyond its limit.
+  void CloseIfTimedOut(TimePoint now) {
     if (answering_) return;
     Duration limit = parser_.started() ? server_->limits_.header_timeout
                                        : server_->limits_.idle_timeout;
-    // A body may take longer than a head, as long as it moves.
-    if (now - since_ > limit) Drop();
+    // Each arriving byte restarts the limit, so a body may take longer than the
+    // limit as long as data keeps arriving.
+    if (now - last_activity_ > limit) Disconnect();
   }
   void CloseIfIdle() {
-    if (!busy()) Drop();
+    if (!busy()) Disconnect();
   }
 
  private:
-  void NextRequest() {
+  void PrepareForNextRequest() {
     parser_.Reset();
     request_done_ = false;
   }
@@ -138,15 +144,15 @@
     exchange_.reset();
   }
 
-  // Keeps the socket until its buffer is written.
-  void Linger() {
+  // Keeps the socket open until its buffer is written.
+  void KeepSocketUntilFlushed() {
     auto keep = tcp_;
     TcpEvents e;
     e.on_drained = [keep]() mutable { keep.reset(); };
     tcp_->set_events(std::move(e));
   }
 
-  void OnHead(MessageHead head) {
+  void OnRequestHead(MessageHead head) {
     exchange_ = std::make_shared<CallerExchange>();
     if (!head.keep_alive) close_after_ = true;
     exchange_->bodyless_ = head.method == "HEAD";
@@ -159,27 +165,28 @@
   }
 
   void OnData(absl::string_view data) {
-    if (!answering_) since_ = server_->clock_.Now();
-    in_.append(data.data(), data.size());
+    if (!answering_) last_activity_ = server_->clock_.Now();
+    unparsed_.append(data.data(), data.size());
     if (!answering_) {
-      Parse();
-    } else if (in_.size() > kMaxPipelined) {
-      Drop();
+      ParseBuffered();
+    } else if (unparsed_.size() > kMaxUnparsedBytes) {
+      Disconnect();
     }
   }
 
-  void Parse() {
-    absl::Status s = parser_.Feed(&in_);
+  void ParseBuffered() {
+    absl::Status s = parser_.Feed(&unparsed_);
     if (!s.ok()) {
-      Refuse(absl::IsResourceExhausted(s) ? (parser_.head_done() ? 413 : 431)
-                                          : 400);
+      RejectMalformed(absl::IsResourceExhausted(s)
+                          ? (parser_.head_done() ? 413 : 431)
+                          : 400);
       return;
     }
     if (!request_done_) return;
-    // Two ways to say where the body ends are a way to smuggle a request.
+    // Two statements of a body's length or of the host allow request smuggling.
     if (exchange_->head.Count("Content-Length") > 1 ||
         exchange_->head.Count("Host") > 1) {
-      Refuse(400);
+      RejectMalformed(400);
       return;
     }
     answering_ = true;
@@ -189,36 +196,36 @@
     server_->handler_(ex);
   }
 
-  void Refuse(int status) {
+  void RejectMalformed(int status) {
     close_after_ = true;
     std::string out =
         absl::StrCat("HTTP/1.1 ", status, " ", ReasonPhrase(status),
                      "\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
     tcp_->Write(out);
     answering_ = false;
-    AnswerDone();
+    OnAnswerDone();
   }
 
   CallerServer* server_;
   std::shared_ptr<TcpConnection> tcp_;
   Http1Parser parser_;
-  std::string in_;
+  std::string unparsed_;
   std::shared_ptr<CallerExchange> exchange_;
   bool request_done_ = false;
   bool answering_ = false;
   bool close_after_ = false;
-  TimePoint since_;
+  TimePoint last_activity_;
 };
 
 void CallerExchange::SendHead(int status, absl::string_view reason,
                               const HeaderList& headers,
                               absl::string_view framing) {
-  if (connection_->server_closing()) connection_->MarkClose();
+  if (connection_->server_closing()) connection_->CloseAfterThisAnswer();
   if (reason.empty()) reason = ReasonPhrase(status);
   std::string out = absl::StrCat("HTTP/1.1 ", status, " ", reason, "\r\n");
   for (const auto& [k, v] : headers) AppendHeader(&out, k, v);
   absl::StrAppend(&out, framing);
-  if (!connection_->keep_open()) AppendHeader(&out, "Connection", "close");
+  if (!connection_->keeps_open()) AppendHeader(&out, "Connection", "close");
   absl::StrAppend(&out, "\r\n");
   started_ = true;
   connection_->Send(out);
@@ -227,27 +234,27 @@
 void CallerExchange::Respond(int status, const HeaderList& headers,
                              absl::string_view body) {
   if (gone() || started_) return;
-  if (connection_->server_closing()) connection_->MarkClose();
+  if (connection_->server_closing()) connection_->CloseAfterThisAnswer();
   std::string out =
       absl::StrCat("HTTP/1.1 ", status, " ", ReasonPhrase(status), "\r\n");
   for (const auto& [k, v] : headers) AppendHeader(&out, k, v);
   if (status != 204 && status != 304) {
     AppendHeader(&out, "Content-Length", absl::StrCat(body.size()));
   }
-  if (!connection_->keep_open()) AppendHeader(&out, "Connection", "close");
+  if (!connection_->keeps_open()) AppendHeader(&out, "Connection", "close");
   absl::StrAppend(&out, "\r\n");
   if (!bodyless_ && status != 204 && status != 304) {
     absl::StrAppend(&out, body);
   }
   started_ = true;
   connection_->Send(out);
-  connection_->AnswerDone();
+  connection_->OnAnswerDone();
 }
 
 void CallerExchange::StartAnswer(int status, absl::string_view reason,
                                  const HeaderList& headers) {
   if (gone() || started_) return;
-  if (!chunked_) connection_->MarkClose();
+  if (!chunked_) connection_->CloseAfterThisAnswer();
   SendHead(status, reason, headers,
            chunked_ ? "Transfer-Encoding: chunked\r\n" : "");
 }
@@ -266,7 +273,7 @@
 void CallerExchange::Finish() {
   if (gone()) return;
   if (!bodyless_ && chunked_) connection_->Send("0\r\n\r\n");
-  connection_->AnswerDone();
+  connection_->OnAnswerDone();
 }
 
 void CallerExchange::Abort() {
@@ -279,8 +286,9 @@
 }
 
 size_t CallersFor(size_t descriptors) {
-  return descriptors > 2 * kOwnDescriptors ? (descriptors - kOwnDescriptors) / 2
-                                           : descriptors / 4;
+  return descriptors > 2 * kReservedDescriptors
+             ? (descriptors - kReservedDescriptors) / 2
+             : descriptors / 4;
 }
 
 size_t DescriptorLimit() {
@@ -298,18 +306,19 @@
         auto c = std::make_shared<CallerConnection>(this, std::move(tcp));
         connections_[c.get()] = c;
         c->Start();
-        MakeRoom();
+        EvictIdleForNewcomers();
       }) {
-  InitTimer(&room_, OnRoom, kRoomSeconds, kRoomSeconds);
-  room_.data = this;
-  InitTimer(&sweep_, OnSweep, kSweepSeconds, kSweepSeconds);
-  sweep_.data = this;
-  ev_timer_start(loop_, &sweep_);
+  InitTimer(&eviction_timer_, OnEvictionTimer, kEvictionSeconds,
+            kEvictionSeconds);
+  eviction_timer_.data = this;
+  InitTimer(&sweep_timer_, OnSweep, kSweepSeconds, kSweepSeconds);
+  sweep_timer_.data = this;
+  ev_timer_start(loop_, &sweep_timer_);
 }
 
 CallerServer::~CallerServer() {
-  ev_timer_stop(loop_, &sweep_);
-  ev_timer_stop(loop_, &room_);
+  ev_timer_stop(loop_, &sweep_timer_);
+  ev_timer_stop(loop_, &eviction_timer_);
 }
 
 absl::Status CallerServer::Listen(const Endpoint& at) {
@@ -317,7 +326,7 @@
 }
 
 void CallerServer::StopAccepting() {
-  closing_ = true;
+  closing_after_answers_ = true;
   listener_.Stop();
   CloseIdle();
 }
@@ -328,49 +337,51 @@
   for (auto& c : all) c->CloseIfIdle();
 }
 
-std::vector<std::shared_ptr<CallerConnection>> CallerServer::Closable() const {
+std::vector<std::shared_ptr<CallerConnection>>
+CallerServer::EvictableConnections() const {
   std::vector<std::shared_ptr<CallerConnection>> out;
   TimePoint now = clock_.Now();
   for (const auto& [p, c] : connections_) {
-    if (!c->busy() && now - c->since() >= kLeastIdle) out.push_back(c);
+    if (!c->busy() && now - c->last_activity() >= kMinIdle) out.push_back(c);
   }
   std::sort(out.begin(), out.end(), [](const auto& a, const auto& b) {
-    return a->since() < b->since();
+    return a->last_activity() < b->last_activity();
   });
   return out;
 }
 
-void CallerServer::MakeRoom() {
-  bool room = connections_.size() < most_connections_;
-  if (!room) {
-    std::vector<std::shared_ptr<CallerConnection>> idle = Closable();
-    size_t excess = connections_.size() - most_connections_;
-    size_t closing =
-        excess == 0 ? 0 : std::max(excess, idle.size() / kClosedAtOnce);
+void CallerServer::EvictIdleForNewcomers() {
+  bool accepting = connections_.size() < max_connections_;
+  if (!accepting) {
+    std::vector<std::shared_ptr<CallerConnection>> idle =
+        EvictableConnections();
+    size_t excess = connections_.size() - max_connections_;
+    size_t to_close =
+        excess == 0 ? 0 : std::max(excess, idle.size() / kEvictOneIn);
     size_t closed = 0;
-    size_t left = idle.size();
+    size_t not_examined = idle.size();
     for (const auto& c : idle) {
-      if (closed == closing) break;
-      --left;
+      if (closed == to_close) break;
+      --not_examined;
       if (c->has_unread()) continue;
-      c->Drop();
+      c->Disconnect();
       ++closed;
     }
-    room = left > 0 || connections_.size() < most_connections_;
-    if (!room && !ev_is_active(&room_)) {
+    accepting = not_examined > 0 || connections_.size() < max_connections_;
+    if (!accepting && !ev_is_active(&eviction_timer_)) {
       LogWarn("callers_wait", {{"connections", connections_.size()}});
     }
   }
-  listener_.Pause(!room);
-  if (room) {
-    ev_timer_stop(loop_, &room_);
+  listener_.Pause(!accepting);
+  if (accepting) {
+    ev_timer_stop(loop_, &eviction_timer_);
   } else {
-    ev_timer_start(loop_, &room_);
+    ev_timer_start(loop_, &eviction_timer_);
   }
 }
 
-void CallerServer::OnRoom(struct ev_loop*, ev_timer* w, int) {
-  static_cast<CallerServer*>(w->data)->MakeRoom();
+void CallerServer::OnEvictionTimer(struct ev_loop*, ev_timer* w, int) {
+  static_cast<CallerServer*>(w->data)->EvictIdleForNewcomers();
 }
 
 int CallerServer::busy() const {
@@ -384,7 +395,7 @@
   TimePoint now = self->clock_.Now();
   std::vector<std::shared_ptr<CallerConnection>> all;
   for (auto& [p, c] : self->connections_) all.push_back(c);
-  for (auto& c : all) c->Sweep(now);
+  for (auto& c : all) c->CloseIfTimedOut(now);
 }
 
 }  // namespace medlarwalk
--- a/src/caller_server.h
+++ b/src/caller_server.h
@@ -1,6 +1,6 @@
-// HTTP/1.1 toward callers and operators, on sockets this process owns: a
-// caller that leaves is noticed at once, also while its answer is being
-// prepared, and no header is added that the answer does not carry.
+// HTTP/1.1 server for callers and operators, on sockets that this process owns.
+// A caller that disconnects is noticed at once, even while its answer is being
+// prepared, and an answer gets no headers beyond its own and the framing.
 #ifndef MEDLARWALK_CALLER_SERVER_H_
 #define MEDLARWALK_CALLER_SERVER_H_
 
@@ -22,34 +22,37 @@
 
 class CallerConnection;
 
-// One request and the way to answer it. Exactly one of Respond, or StartAnswer
-// with Write and then Finish or Abort. Calls after the caller left do nothing.
+// One request and the methods to answer it. Call either Respond, or
+// StartAnswer, any number of Write and then Finish or Abort. Calls after the
+// caller has disconnected do nothing.
 class CallerExchange {
  public:
   MessageHead head;
   std::string body;
-  TimePoint arrived{};  // When the request had been read whole.
+  TimePoint arrived{};  // When the request had been read completely.
 
-  // Sends a whole answer.
+  // Sends a complete answer.
   void Respond(int status, const HeaderList& headers, absl::string_view body);
-  // Before StartAnswer: the answer's end is that of its connection, as for a
-  // caller that cannot read chunks (done for such a one without being asked).
+  // Marks the end of the answer by closing the connection instead of using
+  // chunks. Must be called before StartAnswer. Applied automatically for a
+  // caller that cannot read chunks.
   void EndWithConnection();
-  // Begins an answer whose length is not known: chunked.
+  // Begins an answer of unknown length, which is sent in chunks.
   void StartAnswer(int status, absl::string_view reason,
                    const HeaderList& headers);
   void Write(absl::string_view data);
   void Finish();
-  // Closes the connection without the answer's end, so that a cut answer
-  // cannot look complete.
+  // Closes the connection without the end of the answer, so that an interrupted
+  // answer cannot look complete.
   void Abort();
   bool gone() const { return connection_ == nullptr; }
   bool started() const { return started_; }
-  // Bytes not yet taken by the caller's connection.
+  // Returns the number of bytes not yet written to the caller's socket.
   size_t unsent() const;
-  // Called once if the caller leaves before the answer's end.
+  // Sets `f`, which is called once if the caller disconnects before the end of
+  // the answer.
   void set_on_gone(std::function<void()> f) { on_gone_ = std::move(f); }
-  // Called when unsent() has gone down to 0.
+  // Sets `f`, which is called when unsent() has dropped to 0.
   void set_on_drained(std::function<void()> f) { on_drained_ = std::move(f); }
 
  private:
@@ -59,21 +62,22 @@
 
   CallerConnection* connection_ = nullptr;
   bool started_ = false;
-  bool bodyless_ = false;  // Answers a HEAD request.
-  bool chunked_ = true;    // Otherwise ends with its connection.
+  bool bodyless_ = false;  // The request method is HEAD.
+  bool chunked_ = true;    // If false, closing the connection ends the answer.
   std::function<void()> on_gone_;
   std::function<void()> on_drained_;
 };
 
-// How many callers' connections a process may hold that may have
-// `descriptors` open: each may need one more to an upstream, and a few links to
-// our own processes must always come back.
+// Returns how many caller connections a process may hold if it may have
+// `descriptors` open. Each caller may need one more connection, to an upstream,
+// and links to other medlarwalk processes must always be able to reconnect.
 size_t CallersFor(size_t descriptors);
 
-// The descriptors that the host lets this process open.
+// Returns the number of descriptors that the host lets this process open.
 size_t DescriptorLimit();
 
-// The server. Thread safety: loop thread only.
+// Accepts caller connections and passes their requests to a handler. Thread
+// safety: loop thread only.
 class CallerServer {
  public:
   using Handler = std::function<void(std::shared_ptr<CallerExchange>)>;
@@ -83,42 +87,47 @@
   CallerServer(const CallerServer&) = delete;
   CallerServer& operator=(const CallerServer&) = delete;
 
-  // Errors: Unavailable when the address cannot be bound.
+  // Starts listening. Errors: Unavailable when the address cannot be bound.
   absl::Status Listen(const Endpoint& at);
-  // The port bound.
   int port() const { return listener_.port(); }
-  // Applies to messages that begin from now on.
+  // Sets the limits for messages that begin from now on.
   void set_limits(const CallerLimits& limits) { limits_ = limits; }
-  // Holds no more than about `n` connections: past it those idle longest make
-  // room; where all are busy, newcomers wait in the listening queue.
-  void set_most_connections(size_t n) { most_connections_ = n; }
-  // Planned stop, first step: answers from now on close their connection.
-  void CloseAfterAnswers() { closing_ = true; }
-  // Planned stop, second step: takes no new connection, closes idle ones.
+  // Limits the number of connections to about `n`. Beyond it, the connections
+  // idle longest are closed; if all are busy, new callers wait in the listen
+  // backlog.
+  void set_most_connections(size_t n) { max_connections_ = n; }
+  // First step of a planned stop: every answer from now on closes its
+  // connection.
+  void CloseAfterAnswers() { closing_after_answers_ = true; }
+  // Second step of a planned stop: accepts no new connections and closes idle
+  // ones.
   void StopAccepting();
-  // Closes every connection on which no request is in progress.
+  // Closes every connection without a request in progress.
   void CloseIdle();
-  // Requests being read or answered.
+  // Returns the number of requests being read or answered.
   int busy() const;
   size_t connections() const { return connections_.size(); }
 
  private:
   friend class CallerConnection;
   static void OnSweep(struct ev_loop* loop, ev_timer* w, int revents);
-  static void OnRoom(struct ev_loop* loop, ev_timer* w, int revents);
-  void MakeRoom();
-  // Those that may be closed for a newcomer's sake, longest idle first.
-  std::vector<std::shared_ptr<CallerConnection>> Closable() const;
+  static void OnEvictionTimer(struct ev_loop* loop, ev_timer* w, int revents);
+  // Closes idle connections if the limit is reached, and pauses accepting while
+  // none can be closed.
+  void EvictIdleForNewcomers();
+  // Returns the idle connections that may be closed to accept new callers, the
+  // longest idle first.
+  std::vector<std::shared_ptr<CallerConnection>> EvictableConnections() const;
 
   struct ev_loop* loop_;
   const Clock& clock_;
   Handler handler_;
   CallerLimits limits_;
   TcpListener listener_;
-  bool closing_ = false;
-  size_t most_connections_ = SIZE_MAX;
-  ev_timer sweep_{};
-  ev_timer room_{};  // Runs while newcomers wait.
+  bool closing_after_answers_ = false;
+  size_t max_connections_ = SIZE_MAX;
+  ev_timer sweep_timer_{};
+  ev_timer eviction_timer_{};  // Active while new callers wait.
   std::unordered_map<CallerConnection*, std::shared_ptr<CallerConnection>>
       connections_;
 };
--- a/src/crash_watch.cc
+++ b/src/crash_watch.cc
@@ -7,57 +7,61 @@
 namespace medlarwalk {
 namespace {
 
-// A host that is there answers within a round trip.
-constexpr auto kCheckTimeout = Millis(250);
-// An upstream of which nothing is known by then was not heard to end: lists
-// that lag show it within seconds.
-constexpr auto kDoubtFor = std::chrono::seconds(10);
+// A running host answers a connection attempt within a round trip.
+constexpr auto kProbeTimeout = Millis(250);
+// A suspicion that is not confirmed by then is dropped: even a list that lags
+// shows a termination within seconds.
+constexpr auto kSuspicionTimeout = std::chrono::seconds(10);
 
 }  // namespace
 
-void CrashWatch::NoteCut(const std::string& upstream, const Cut& cut) {
+void CrashWatch::RecordInterruptedCall(const std::string& upstream,
+                                       const InterruptedCall& call) {
   const UpstreamBoard* u = pool_.Find(upstream);
-  // What leaves may end with work under way, and by no fault of that.
+  // A draining upstream may terminate with requests in flight that are not the
+  // cause.
   if (!u || u->info.leaving) return;
-  doubtful_[upstream].cut.push_back(cut);
+  suspects_[upstream].calls.push_back(call);
 }
 
-void CrashWatch::NoteEnded(const std::string& upstream, absl::string_view how) {
-  auto it = doubtful_.find(upstream);
-  if (it == doubtful_.end()) return;
-  Doubtful d = std::move(it->second);
-  doubtful_.erase(it);
+void CrashWatch::RecordTermination(const std::string& upstream,
+                                   absl::string_view how) {
+  auto it = suspects_.find(upstream);
+  if (it == suspects_.end()) return;
+  Suspect s = std::move(it->second);
+  suspects_.erase(it);
   LogEvent("upstream_crashed",
-           {{"upstream", upstream}, {"how", how}, {"cut", d.cut.size()}});
-  on_crash_(upstream, how, d.cut);
+           {{"upstream", upstream}, {"how", how}, {"cut", s.calls.size()}});
+  on_crash_(upstream, how, s.calls);
 }
 
-void CrashWatch::NoteList() {
-  std::vector<std::string> gone;
-  for (const auto& [upstream, d] : doubtful_) {
+void CrashWatch::OnListUpdate() {
+  std::vector<std::string> unlisted;
+  for (const auto& [upstream, s] : suspects_) {
     const UpstreamBoard* u = pool_.Find(upstream);
-    if (!u || !u->listed) gone.push_back(upstream);
+    if (!u || !u->listed) unlisted.push_back(upstream);
   }
-  for (const std::string& upstream : gone) NoteEnded(upstream, "unlisted");
+  for (const std::string& id : unlisted) RecordTermination(id, "unlisted");
 }
 
 void CrashWatch::Tick(TimePoint now) {
   std::vector<std::string> refused;
-  for (auto it = doubtful_.begin(); it != doubtful_.end();) {
-    Doubtful& d = it->second;
+  for (auto it = suspects_.begin(); it != suspects_.end();) {
+    Suspect& s = it->second;
     const UpstreamBoard* u = pool_.Find(it->first);
-    // A kept connection that ended with the cut one is known to have by the
-    // second turn.
-    if (u && !d.check && d.settled) {
-      d.check = pool_.Reconnect(*u, kCheckTimeout);
+    // The pool notices by the second tick that its idle connections closed
+    // together with the interrupted one, so the probe starts then.
+    if (u && !s.probe && s.seen_by_tick) {
+      s.probe = pool_.OpenProbe(*u, kProbeTimeout);
     }
-    d.settled = true;
-    if (d.check && d.check->refused()) refused.push_back(it->first);
-    bool alive = d.check && d.check->established();
-    it = alive || now - d.cut.front().crash.at > kDoubtFor ? doubtful_.erase(it)
-                                                           : std::next(it);
+    s.seen_by_tick = true;
+    if (s.probe && s.probe->refused()) refused.push_back(it->first);
+    bool upstream_alive = s.probe && s.probe->established();
+    it = upstream_alive || now - s.calls.front().crash.at > kSuspicionTimeout
+             ? suspects_.erase(it)
+             : std::next(it);
   }
-  for (const std::string& upstream : refused) NoteEnded(upstream, "refused");
+  for (const std::string& id : refused) RecordTermination(id, "refused");
 }
 
 }  // namespace medlarwalk
--- a/src/crash_watch.h
+++ b/src/crash_watch.h
@@ -1,7 +1,8 @@
-// Tells an upstream that has ended from a connection that has: both close the
-// connection in the middle of a call. Where no connection to the upstream is
-// left, one is opened anew; refused, the upstream has ended, and each request
-// it was cut at may be what ended it.
+// Distinguishes the termination of an upstream from the loss of one connection;
+// both close the connection in the middle of a call. If no connection to the
+// upstream is left, a new one is opened as a probe. If the probe is refused,
+// the upstream has terminated, and each of the interrupted requests may be the
+// cause.
 #ifndef MEDLARWALK_CRASH_WATCH_H_
 #define MEDLARWALK_CRASH_WATCH_H_
 
@@ -17,43 +18,46 @@
 
 namespace medlarwalk {
 
-// Thread safety: loop thread only.
+// Detects upstream crashes. Thread safety: loop thread only.
 class CrashWatch {
  public:
-  // A call whose connection ended before its answer did.
-  struct Cut {
-    RequestPrint asks = 0;
-    Crash crash;  // But for the upstream.
+  // A call whose connection closed before its answer was complete.
+  struct InterruptedCall {
+    RequestPrint fingerprint = 0;
+    Crash crash;  // All fields but the upstream are set.
   };
-  // `upstream` has ended, and with it the calls `cut`, as `how` showed. Called
-  // from the functions below.
+  // Called from the functions below when `upstream` has terminated and
+  // interrupted `calls`. `how` names the evidence.
   using OnCrash =
       std::function<void(const std::string& upstream, absl::string_view how,
-                         const std::vector<Cut>& cut)>;
+                         const std::vector<InterruptedCall>& calls)>;
   // Precondition: `pool` outlives this.
   CrashWatch(UpstreamPool& pool, OnCrash on_crash)
       : pool_(pool), on_crash_(std::move(on_crash)) {}
 
-  // The connection to `upstream` has ended, and with it a call.
-  void NoteCut(const std::string& upstream, const Cut& cut);
-  // `upstream` has ended, as `how` showed it.
-  void NoteEnded(const std::string& upstream, absl::string_view how);
-  // A new reading of the list is in the pool.
-  void NoteList();
-  // Looks at those of which the end is not known; called every few tens of
-  // milliseconds.
+  // Records that a connection to `upstream` closed in the middle of `call`.
+  void RecordInterruptedCall(const std::string& upstream,
+                             const InterruptedCall& call);
+  // Records that `upstream` has terminated, as shown by `how`. Reports a crash
+  // if any call was interrupted.
+  void RecordTermination(const std::string& upstream, absl::string_view how);
+  // Reports crashes of suspected upstreams that the pool's new list no longer
+  // contains.
+  void OnListUpdate();
+  // Probes suspected upstreams. Must be called every few tens of milliseconds.
   void Tick(TimePoint now);
 
  private:
-  struct Doubtful {
-    std::vector<Cut> cut;
-    bool settled = false;                 // Seen at a turn before.
-    std::shared_ptr<UpstreamLink> check;  // Opened anew.
+  struct Suspect {
+    std::vector<InterruptedCall> calls;
+    bool seen_by_tick = false;  // An earlier Tick has seen this suspect.
+    // Shows whether the upstream still listens; null until opened.
+    std::shared_ptr<UpstreamLink> probe;
   };
 
   UpstreamPool& pool_;
   OnCrash on_crash_;
-  std::map<std::string, Doubtful> doubtful_;  // By upstream.
+  std::map<std::string, Suspect> suspects_;  // By upstream id.
 };
 
 }  // namespace medlarwalk
--- a/src/dialect.h
+++ b/src/dialect.h
@@ -1,6 +1,6 @@
-// How callers and upstreams write what the core needs to know of a request
-// and of an answer. The core decides on these typed values only; each front
-// door brings its own functions to read and write them.
+// Typed views of requests and answers, and the functions that parse and write
+// them. The core decides on these typed values only; each kind of entry process
+// supplies functions for its own wire format.
 #ifndef MEDLARWALK_DIALECT_H_
 #define MEDLARWALK_DIALECT_H_
 
@@ -21,82 +21,86 @@
 
 namespace medlarwalk {
 
-// What a caller says of its request.
+// Facts that a caller states about its request.
 struct RequestFacts {
-  std::string id;                    // Of this attempt; the upstream echoes it.
-  std::optional<Duration> patience;  // How long the caller will wait.
-  std::string key;                   // Of the client account; may be empty.
-  std::string host;                  // With `path`: which route it asks for.
+  std::string id;  // Id of the caller's attempt; the upstream echoes it.
+  std::optional<Duration> patience;  // How long the caller waits.
+  std::string key;                   // Key of the client account; may be empty.
+  std::string host;                  // Host and path select the route.
   std::string path;
-  int64_t prompt_tokens = 0;  // 0 when not said.
+  int64_t prompt_tokens = 0;  // 0 if not stated.
   int64_t most_output_tokens = 0;
-  int64_t likely_output_tokens = 0;  // The caller's estimate; 0 when not said.
+  int64_t likely_output_tokens = 0;  // Caller's estimate; 0 if none.
   std::vector<PromptPart> parts;
-  std::optional<int64_t> last_event;  // The caller resumes after this event.
-  // Where the request, not its route, says what it is.
+  std::optional<int64_t> last_event;  // Resume after this event.
+  // Override the route's kind and repeatability if set by the request.
   std::optional<RequestKind> kind;
   std::optional<bool> repeatable;
-  // Not 0: every sending of it goes to the one upstream this hash leads to.
+  // If not 0, every attempt goes to the one upstream that this hash selects.
   uint64_t pinned = 0;
 };
 
-// What goes with a forwarded request beside what the caller sent.
+// Facts that are added to a forwarded request.
 struct ForwardFacts {
-  std::string id;           // Of the request.
-  std::string upstream_id;  // Any other upstream must refuse the request.
-  Duration patience{};      // What is left of it.
-  std::string account;      // Empty when there is none.
-  std::optional<int> engine_priority;  // 0 first.
+  std::string id;                      // Id of the request.
+  std::string upstream_id;             // Any other upstream must reject it.
+  Duration patience{};                 // Remaining time that the caller waits.
+  std::string account;                 // Client account; empty if none.
+  std::optional<int> engine_priority;  // 0 is the most urgent.
   std::optional<int64_t> last_event;   // Resume after this event.
-  // An engine that holds leading parts of the prompt: cheaper to copy from
-  // than to read again. Empty ip: none known.
+  // Address of an engine that caches leading parts of the prompt. Copying them
+  // is cheaper than another prefill. Empty ip: none known.
   Endpoint copy_from;
 };
 
-// What an upstream's answer says of itself.
+// Facts that an upstream's answer states.
 struct AnswerFacts {
-  // The id of the request it answers; nullopt where the link itself pairs
-  // answers with requests.
+  // Id of the request that is answered; nullopt if the link itself matches
+  // answers to requests.
   std::optional<std::string> echoed_id;
-  bool not_run = false;         // The upstream states that it did not run it.
-  bool other_upstream = false;  // Another than was meant holds the address.
-  // It is cut short by the upstream's own end, which this tells from others;
-  // empty where it is not, or nobody saw.
+  bool not_run = false;  // The upstream states that it did not run the request.
+  bool other_upstream = false;  // A different upstream now has the address.
+  // Id of the upstream's termination that cut the answer short. Empty if no
+  // termination cut it short or none was observed.
   std::string upstream_end;
-  bool signed_whole = false;  // Bears the upstream's signature.
-  // Its load, where it tells it.
+  bool signed_whole = false;  // The answer has the upstream's signature.
+  // Whether the answer reports the upstream's load, and the load.
   bool has_load = false;
   int running = 0;
   int waiting = 0;
-  // Requests a second that it takes from all processes together, where it
-  // says so.
+  // Rate limit announced by the upstream, in requests per second from all
+  // processes together; nullopt if none.
   std::optional<double> limit_per_s;
-  bool leaving = false;  // It is about to stop.
-  // It turns the request away and wants nothing from this process for so long;
-  // zero where it doesn't say so.
+  bool leaving = false;  // The upstream is draining.
+  // Backoff requested by the upstream: it rejects the request and this process
+  // must send nothing to it for so long. Zero if none is requested.
   Duration rest{};
 };
 
-// A refusal or failure of our own, as the caller gets it.
+// A rejection or failure reported by medlarwalk itself, in the form sent to the
+// caller.
 struct Refusal {
   HeaderList headers;
   std::string body;
 };
 
-// The functions of one front door. All pure and thread safe.
+// The functions of one wire format. All are pure and thread safe.
 struct Dialect {
-  // Errors: of a kind of errors.h, else taken for a bad request.
+  // Parses a request. Errors: a kind from errors.h; any other error is treated
+  // as a bad request.
   std::function<absl::StatusOr<RequestFacts>(const MessageHead&,
                                              absl::string_view body)>
       read_request;
-  // The request for the upstream; its body is a view of `body`.
+  // Builds the request for the upstream; its body is a view of `body`.
   std::function<OutgoingRequest(const MessageHead&, const ForwardFacts&,
                                 absl::string_view body)>
       write_request;
   std::function<AnswerFacts(const MessageHead&)> read_answer;
-  // Whether the header `name` of an answer is for the caller; all when empty.
+  // Returns whether the header `name` of an answer is passed to the caller. If
+  // empty, all headers are.
   std::function<bool(absl::string_view name)> passes_on;
-  // `retry_after`: when the caller does well to come back.
+  // Builds a rejection. `retry_after` is the suggested time until the caller's
+  // next attempt.
   std::function<Refusal(ErrorKind, absl::string_view why, Duration retry_after)>
       write_refusal;
 };
--- a/src/gateway.cc
+++ b/src/gateway.cc
@@ -11,15 +11,16 @@
 namespace medlarwalk {
 namespace {
 
-// Assumed until the control processes have said how many entries there are:
-// too many is safe for the shared limits.
-constexpr int kAssumedServing = 8;
-// Longest wait of a request for the first configuration, or for a newer one.
-constexpr auto kConfigWait = Millis(900);
-// A part is believed to be kept for this long after it was read, and so many
-// parts are remembered.
-constexpr auto kPartTrust = std::chrono::seconds(12);
-constexpr size_t kMostParts = 4096;
+// Number of entry processes assumed until control publishes the real one. An
+// estimate that is too high is safe for the shared limits.
+constexpr int kAssumedEntryCount = 8;
+// Longest time that a request waits for the first configuration or for a newer
+// one.
+constexpr auto kMaxConfigWait = Millis(900);
+// How long after its prefill a prompt part is assumed to be cached at the
+// engine, and the number of prompt parts remembered.
+constexpr auto kPrefixHolderTrust = std::chrono::seconds(12);
+constexpr size_t kMaxRememberedParts = 4096;
 
 LinkOpener Http1Links(struct ev_loop* loop, const Clock& clock) {
   return [loop, &clock](const UpstreamInfo& to, Duration connect_timeout) {
@@ -39,46 +40,47 @@
       random_(random_seed),
       pool_(clock,
             options_.open_link ? options_.open_link : Http1Links(loop, clock)),
-      crashes_(pool_,
-               [this](const std::string& upstream, absl::string_view how,
-                      const std::vector<CrashWatch::Cut>& cut) {
-                 UpstreamCrashed(upstream, how, cut);
-               }),
-      parts_(kPartTrust, kMostParts),
-      waiting_(options_.waiting),
-      serving_(kAssumedServing),
-      turn_place_{kAssumedServing, 0} {}
+      crash_watch_(
+          pool_,
+          [this](const std::string& upstream, absl::string_view how,
+                 const std::vector<CrashWatch::InterruptedCall>& calls) {
+            OnUpstreamCrash(upstream, how, calls);
+          }),
+      prefix_holders_(kPrefixHolderTrust, kMaxRememberedParts),
+      wait_queue_(options_.waiting),
+      entry_count_(kAssumedEntryCount),
+      send_slot_share_{kAssumedEntryCount, 0} {}
 
 Gateway::~Gateway() = default;
 
 void Gateway::SetConfig(std::shared_ptr<const RoutingConfig> config) {
   config_ = std::move(config);
-  BeginEarly();
+  ResumeAwaitingConfig();
 }
 
 void Gateway::NoteInStep(TimePoint as_of) {
-  in_step_at_ = std::max(in_step_at_, as_of);
-  if (config_) BeginEarly();
+  config_current_at_ = std::max(config_current_at_, as_of);
+  if (config_) ResumeAwaitingConfig();
 }
 
-void Gateway::BeginEarly() {
-  std::vector<uint64_t> early = std::move(early_);
-  early_.clear();
-  for (uint64_t seq : early) {
+void Gateway::ResumeAwaitingConfig() {
+  std::vector<uint64_t> awaiting = std::move(awaiting_config_);
+  awaiting_config_.clear();
+  for (uint64_t seq : awaiting) {
     auto it = requests_.find(seq);
-    if (it != requests_.end()) Begin(*it->second);
+    if (it != requests_.end()) AdmitAndDispatch(*it->second);
   }
 }
 
 void Gateway::SetUpstreams(absl::Span<const UpstreamInfo> upstreams) {
   for (const std::string& id : pool_.Update(upstreams)) {
-    parts_.Forget(id);
+    prefix_holders_.Forget(id);
     limits_.Note(id, std::nullopt, clock_.Now());
   }
-  crashes_.NoteList();
-  ApplyLimits();
-  paces_changed_ = true;
-  ServeWaiting();
+  crash_watch_.OnListUpdate();
+  ApplyLimitsToBoards();
+  decode_paces_changed_ = true;
+  DispatchWaiting();
 }
 
 void Gateway::NoteLoad(const std::string& upstream, int running, int waiting) {
@@ -94,24 +96,24 @@
            {{"upstream", upstream}, {"reachable", reachable ? 1 : 0}});
 }
 
-RetryBudget& Gateway::BudgetFor(const std::string& service) {
-  return budgets_.try_emplace(service, clock_.Now()).first->second;
+RetryBudget& Gateway::RetryBudgetFor(const std::string& service) {
+  return retry_budgets_.try_emplace(service, clock_.Now()).first->second;
 }
 
-ReadingGate& Gateway::GateFor(const std::string& service) {
-  return reading_.try_emplace(service, options_.reading).first->second;
+ReadingGate& Gateway::PrefillLimiterFor(const std::string& service) {
+  return prefill_limiters_.try_emplace(service, options_.reading).first->second;
 }
 
-TierGuard& Gateway::GuardFor(const std::string& service) {
-  return guards_.try_emplace(service, options_.tiers).first->second;
+TierGuard& Gateway::TierGuardFor(const std::string& service) {
+  return tier_guards_.try_emplace(service, options_.tiers).first->second;
 }
 
-std::string Gateway::LabelOf(const Request& r) {
+std::string Gateway::MetricLabel(const Request& r) {
   return r.route && !r.route->label.empty() ? r.route->label
                                             : absl::StrCat("tier-", r.tier);
 }
 
-Gateway::Request* Gateway::Find(uint64_t seq, int attempt) {
+Gateway::Request* Gateway::FindAttempt(uint64_t seq, int attempt) {
   auto it = requests_.find(seq);
   if (it == requests_.end() || it->second->attempt != attempt) return nullptr;
   return it->second.get();
@@ -122,45 +124,45 @@
   Request& r = *owned;
   r.seq = next_seq_++;
   r.exchange = std::move(ex);
-  // Refused by then, unless Admit sets its own time.
-  r.give_up_at = r.exchange->arrived + kConfigWait;
-  r.give_up_entry = give_up_.emplace(r.give_up_at, r.seq);
+  // The request is rejected at this time unless Admit sets its own deadline.
+  r.deadline = r.exchange->arrived + kMaxConfigWait;
+  r.deadline_entry = deadlines_.emplace(r.deadline, r.seq);
   requests_[r.seq] = std::move(owned);
   uint64_t seq = r.seq;
-  r.exchange->set_on_gone([this, seq] { CallerLeft(seq); });
+  r.exchange->set_on_gone([this, seq] { OnCallerDisconnect(seq); });
   if (!config_) {
-    // A process that has just started hears of a configuration within a
-    // moment: its callers do better to wait than to come back.
-    early_.push_back(r.seq);
+    // A process that has just started receives a configuration within a moment.
+    // Waiting for it costs the caller less than a retry.
+    awaiting_config_.push_back(r.seq);
     return;
   }
-  Begin(r);
+  AdmitAndDispatch(r);
 }
 
-void Gateway::Begin(Request& r) {
+void Gateway::AdmitAndDispatch(Request& r) {
   absl::Status s = Admit(r);
-  if (!s.ok() && MayBeOutdated(s)) {
-    early_.push_back(r.seq);
+  if (!s.ok() && ConfigMayBeOutdated(s)) {
+    awaiting_config_.push_back(r.seq);
     return;
   }
   if (!s.ok()) {
-    Fail(r, KindOf(s), s.message());
+    FailRequest(r, KindOf(s), s.message());
     return;
   }
-  BudgetFor(r.service->name).NoteRequest(options_.retry);
+  RetryBudgetFor(r.service->name).NoteRequest(options_.retry);
   Dispatch(r);
 }
 
-// Whether a newer configuration may allow what `refusal` says this one does
-// not. An entry whose loop stood still for seconds wakes up among requests sent
-// long after a route was added: told "no such route", their callers never come
-// back.
-bool Gateway::MayBeOutdated(const absl::Status& refusal) const {
-  ErrorKind kind = KindOf(refusal);
-  bool by_config =
+// Returns whether a newer configuration may allow a request that this one
+// rejects with `rejection`. An entry process whose event loop was blocked for
+// seconds finds requests that were sent long after a route was added. Callers
+// that get "no such route" never retry.
+bool Gateway::ConfigMayBeOutdated(const absl::Status& rejection) const {
+  ErrorKind kind = KindOf(rejection);
+  bool depends_on_config =
       kind == ErrorKind::kUnknownRoute || kind == ErrorKind::kUnknownKey;
-  return by_config && options_.config_trust > Duration::zero() &&
-         clock_.Now() - in_step_at_ > options_.config_trust;
+  return depends_on_config && options_.config_trust > Duration::zero() &&
+         clock_.Now() - config_current_at_ > options_.config_trust;
 }
 
 absl::Status Gateway::Admit(Request& r) {
@@ -184,15 +186,15 @@
     r.account = a->name;
     account_tier = a->tier.value_or(r.tier);
   }
-  r.asks = PrintOf(r.exchange->head.target, r.account, r.exchange->body);
+  r.fingerprint = PrintOf(r.exchange->head.target, r.account, r.exchange->body);
   r.rank = RankOf(r.tier, account_tier);
   std::uniform_real_distribution<double> draw(0, 1);
   r.service = &config_->services.at(PickService(*r.route, draw(random_)));
-  Duration patience = r.route->timeout;
-  if (r.facts.patience) patience = std::min(patience, *r.facts.patience);
-  give_up_.erase(r.give_up_entry);
-  r.give_up_at = r.exchange->arrived + patience;
-  r.give_up_entry = give_up_.emplace(r.give_up_at, r.seq);
+  Duration time_limit = r.route->timeout;
+  if (r.facts.patience) time_limit = std::min(time_limit, *r.facts.patience);
+  deadlines_.erase(r.deadline_entry);
+  r.deadline = r.exchange->arrived + time_limit;
+  r.deadline_entry = deadlines_.emplace(r.deadline, r.seq);
   r.last_event = r.facts.last_event;
   if (r.service->engine) {
     int64_t output = r.facts.likely_output_tokens > 0
@@ -200,13 +202,14 @@
                          : r.facts.most_output_tokens;
     r.shape = ShapeOf(r.facts.prompt_tokens, output, options_.placement);
   }
-  if (quarantine_.Refuses(r.asks)) {
+  if (quarantine_.Refuses(r.fingerprint)) {
     return MakeError(ErrorKind::kQuarantined, "crashes upstreams");
   }
   if (draining_ && r.shape == WorkShape::kDecode) {
     return MakeError(ErrorKind::kDraining, "stopping");
   }
-  // The parts shared with others: all but the request's own.
+  // All prompt parts but the last may be shared with other requests; the last
+  // one belongs to this request alone.
   if (r.facts.parts.size() >= 2) {
     r.affinity = r.facts.parts[r.facts.parts.size() - 2].id;
     for (size_t i = 0; i + 1 < r.facts.parts.size(); ++i) {
@@ -218,7 +221,7 @@
 
 void Gateway::Dispatch(Request& r) {
   if (TrySend(r)) {
-    waiting_.NotePlace(r.service->name, clock_.Now());
+    wait_queue_.NotePlace(r.service->name, clock_.Now());
     return;
   }
   WaitingRequest w;
@@ -226,114 +229,116 @@
   w.tier = r.rank;
   w.since = clock_.Now();
   w.until =
-      std::min(r.give_up_at, w.since + std::chrono::duration_cast<Duration>(
-                                           r.route->latency_target *
-                                           options_.waiting.most_target_share));
+      std::min(r.deadline, w.since + std::chrono::duration_cast<Duration>(
+                                         r.route->latency_target *
+                                         options_.waiting.most_target_share));
   w.service = r.service->name;
-  r.starves_at = StarvesAt(w, options_.waiting);
+  r.starving_from = StarvesAt(w, options_.waiting);
   std::optional<uint64_t> shed;
-  absl::Status entered = waiting_.Enter(std::move(w), &shed);
+  absl::Status entered = wait_queue_.Enter(std::move(w), &shed);
   r.waiting = entered.ok();
   if (shed) {
     Request* other = requests_.at(*shed).get();
     other->waiting = false;
-    Fail(*other, ErrorKind::kShed, "room needed for a higher tier");
+    FailRequest(*other, ErrorKind::kShed, "room needed for a higher tier");
   }
-  if (!r.waiting) Fail(r, KindOf(entered), entered.message());
+  if (!r.waiting) FailRequest(r, KindOf(entered), entered.message());
 }
 
-PlacementAsk Gateway::AskFor(const Request& r) const {
-  PlacementAsk ask;
-  ask.service = r.service->name;
-  ask.affinity = r.affinity;
-  ask.shared_tokens = r.shared_tokens;
-  ask.data_centre = options_.data_centre;
-  ask.avoid = r.tried;
-  ask.shape = r.shape;
-  ask.pinned = r.facts.pinned;
-  ask.most_load = r.service->engine ? options_.placement.most_engine_load
-                                    : options_.placement.most_plain_load;
-  return ask;
+PlacementAsk Gateway::PlacementInputFor(const Request& r) const {
+  PlacementAsk input;
+  input.service = r.service->name;
+  input.affinity = r.affinity;
+  input.shared_tokens = r.shared_tokens;
+  input.data_centre = options_.data_centre;
+  input.avoid = r.tried;
+  input.shape = r.shape;
+  input.pinned = r.facts.pinned;
+  input.most_load = r.service->engine ? options_.placement.most_engine_load
+                                      : options_.placement.most_plain_load;
+  return input;
 }
 
 bool Gateway::TrySend(Request& r) {
-  // What has begun elsewhere goes on, whoever waits.
-  if (r.sends == 0 && !GuardFor(r.service->name).Admits(r.tier, clock_.Now())) {
+  // A request that was sent before continues regardless of waiting requests.
+  if (r.sends == 0 &&
+      !TierGuardFor(r.service->name).Admits(r.tier, clock_.Now())) {
     return false;
   }
   if (r.shape == WorkShape::kPrefill &&
-      !GateFor(r.service->name).open(r.tier)) {
+      !PrefillLimiterFor(r.service->name).open(r.tier)) {
     return false;
   }
   int limit =
       std::max(2, static_cast<int>(r.service->max_connections *
-                                   options_.connection_share / serving_));
-  bool starves = r.waiting && clock_.Now() >= r.starves_at;
-  if (r.tier > 0 && !starves) {
+                                   options_.connection_share / entry_count_));
+  bool starving = r.waiting && clock_.Now() >= r.starving_from;
+  if (r.tier > 0 && !starving) {
     limit -=
         static_cast<int>(std::ceil(limit * options_.placement.reserved_share));
   }
   TimePoint now = clock_.Now();
   for (UpstreamBoard& b : pool_.boards()) {
     if (b.info.service != r.service->name) continue;
-    b.no_turn = b.limit_per_s && !HasTurn(b, now);
-    // Each own request there holds a connection: below the limit none can be
-    // in the way, and the look through the kept ones is saved.
-    b.full = b.in_flight >= limit && pool_.Full(b, limit);
+    b.no_turn = b.limit_per_s && !HasSendSlot(b, now);
+    // Each request of this process at an upstream holds one connection. With
+    // fewer requests than the limit there is a free connection, so the scan of
+    // the idle connections is skipped.
+    b.full = b.in_flight >= limit && pool_.AtConnectionLimit(b, limit);
     if (r.shape != WorkShape::kDecode || b.full) continue;
-    b.full = !TakesGeneration(b, r.service->engine->slots, serving_, now,
+    b.full = !TakesGeneration(b, r.service->engine->slots, entry_count_, now,
                               options_.placement);
   }
-  PlacementAsk ask = AskFor(r);
+  PlacementAsk input = PlacementInputFor(r);
   if (r.service->engine) {
-    int& kept = decode_engines_[r.service->name];
-    kept = DecodeEngines(
-        demand_[r.service->name], kept, r.service->engine->slots,
+    int& engine_count = decode_engines_[r.service->name];
+    engine_count = DecodeEngines(
+        decode_demand_[r.service->name], engine_count, r.service->engine->slots,
         RankedUpstreams(pool_.boards(), r.service->name), options_.placement);
-    ask.decode_engines = kept;
+    input.decode_engines = engine_count;
   }
-  r.decode_engines = ask.decode_engines;
+  r.decode_engines = input.decode_engines;
   std::uniform_real_distribution<double> draw(0, 1);
   std::optional<size_t> i =
-      Place(pool_.boards(), ask, now, draw(random_), options_.placement);
+      Place(pool_.boards(), input, now, draw(random_), options_.placement);
   if (!i) return false;
-  Send(r, *i);
+  SendToUpstream(r, *i);
   return true;
 }
 
-void Gateway::Send(Request& r, size_t upstream) {
+void Gateway::SendToUpstream(Request& r, size_t upstream) {
   TimePoint now = clock_.Now();
   UpstreamBoard& u = pool_.boards()[upstream];
   ++r.attempt;
-  if (++r.sends == 1) GuardFor(r.service->name).NotePlace(r.tier, now);
+  if (++r.sends == 1) TierGuardFor(r.service->name).NotePlace(r.tier, now);
   r.upstream = u.info.id;
   r.tried.push_back(u.info.id);
   r.sent_at = r.progress_at = now;
   r.have_head = false;
   r.relaying = false;
-  r.held.clear();
+  r.held_body.clear();
   r.splitter.Reset();
   if (u.in_flight == 0) u.quiet_since = now;
   ++u.in_flight;
-  if (u.limit_per_s) TakeTurn(u, now);
-  r.reading = r.shape == WorkShape::kPrefill;
-  u.reading += r.reading;
-  if (r.reading) GateFor(r.service->name).Sent(r.tier);
+  if (u.limit_per_s) UseSendSlot(u, now);
+  r.prefill_pending = r.shape == WorkShape::kPrefill;
+  u.reading += r.prefill_pending;
+  if (r.prefill_pending) PrefillLimiterFor(r.service->name).Sent(r.tier);
   NotePrefill(u, static_cast<double>(r.facts.prompt_tokens), now,
               options_.placement);
   ForwardFacts f;
   f.id = r.facts.id;
   f.upstream_id = u.info.id;
-  f.patience = r.give_up_at - now;
+  f.patience = r.deadline - now;
   f.account = r.account;
   if (r.service->engine) {
     f.engine_priority = EnginePriority(*r.config, r.rank);
   }
   f.last_event = r.last_event;
-  if (r.service->engine) f.copy_from = CopySource(r, u, now);
+  if (r.service->engine) f.copy_from = FindCopySource(r, u, now);
   LogEvent("sent",
            {{"request", r.facts.id},
-            {"asks", PrintName(r.asks)},
+            {"asks", PrintName(r.fingerprint)},
             {"upstream", u.info.id},
             {"attempt", r.sends + static_cast<int>(r.connect_failures)},
             {"load", u.reported},
@@ -348,74 +353,78 @@
   UpstreamCall call;
   call.request = dialect_.write_request(r.exchange->head, f, r.exchange->body);
   call.on_head = [this, seq, attempt](const MessageHead& h) {
-    Request* q = Find(seq, attempt);
-    return q ? OnHead(*q, h) : true;
+    Request* q = FindAttempt(seq, attempt);
+    return q ? OnAnswerHead(*q, h) : true;
   };
   call.on_body = [this, seq, attempt](absl::string_view d) {
-    if (Request* q = Find(seq, attempt)) OnBody(*q, d);
+    if (Request* q = FindAttempt(seq, attempt)) OnAnswerBody(*q, d);
   };
   call.on_end = [this, seq, attempt](CallEnd end, absl::string_view why) {
-    if (Request* q = Find(seq, attempt)) OnEnd(*q, end, why);
+    if (Request* q = FindAttempt(seq, attempt)) OnCallEnd(*q, end, why);
   };
-  r.connection = pool_.Take(u, kConnectTimeouts[r.connect_failures]);
+  r.connection = pool_.AcquireLink(u, kConnectTimeouts[r.connect_failures]);
   r.connection->Start(std::move(call));
 }
 
-// The engine that most likely holds leading parts of the prompt that `to` may
-// lack: one seen here to have read all that is shared; else another home of
-// these parts, where requests for them go from every entry; else one seen to
-// have read the first of them.
-Endpoint Gateway::CopySource(const Request& r, const UpstreamBoard& to,
-                             TimePoint now) {
+// Returns the address of the engine that most likely caches leading parts of
+// the prompt that `to` may lack, or an empty endpoint. First choice is an
+// engine at which this process saw a prefill of all shared parts. Second is
+// another preferred engine of these parts, because every entry process sends
+// requests with them there. Third is an engine at which this process saw a
+// prefill of the first parts.
+Endpoint Gateway::FindCopySource(const Request& r, const UpstreamBoard& to,
+                                 TimePoint now) {
   if (r.facts.parts.size() < 2) return {};
-  PartMemory::Holding seen = parts_.Holder(r.facts.parts, now);
-  const UpstreamBoard* h = nullptr;
-  if (seen.parts + 1 < r.facts.parts.size()) {
-    std::optional<size_t> home =
+  PartMemory::Holding holder = prefix_holders_.Holder(r.facts.parts, now);
+  const UpstreamBoard* source = nullptr;
+  if (holder.parts + 1 < r.facts.parts.size()) {
+    std::optional<size_t> preferred =
         FirstHome(pool_.boards(), r.service->name, r.affinity, r.decode_engines,
                   to.info.id, now, options_.placement);
-    if (home) h = &pool_.boards()[*home];
+    if (preferred) source = &pool_.boards()[*preferred];
   }
-  if (!h && !seen.engine.empty()) h = pool_.Find(seen.engine);
-  if (!h || h->info.id == to.info.id || h->info.service != to.info.service ||
-      !Usable(*h, now, options_.placement)) {
+  if (!source && !holder.engine.empty()) source = pool_.Find(holder.engine);
+  if (!source || source->info.id == to.info.id ||
+      source->info.service != to.info.service ||
+      !Usable(*source, now, options_.placement)) {
     return {};
   }
-  return h->info.address;
+  return source->info.address;
 }
 
-// Lets go of the upstream; the connection is kept if its call has ended.
+// Detaches the request from its upstream. The connection is kept for reuse if
+// its call has ended.
 void Gateway::ReleaseUpstream(Request& r) {
   if (r.upstream.empty()) return;
   if (UpstreamBoard* u = pool_.Find(r.upstream)) {
     --u->in_flight;
-    u->reading -= r.reading;
+    u->reading -= r.prefill_pending;
     if (u->in_flight == 0) u->quiet_since = {};
   }
-  if (r.reading) GateFor(r.service->name).Ended(r.tier);
-  r.reading = false;
-  pool_.Give(r.upstream, r.connection);
+  if (r.prefill_pending) PrefillLimiterFor(r.service->name).Ended(r.tier);
+  r.prefill_pending = false;
+  pool_.ReleaseLink(r.upstream, r.connection);
   r.connection.reset();
   r.upstream.clear();
 }
 
-void Gateway::DropAttempt(Request& r) {
+void Gateway::CancelAttempt(Request& r) {
   if (r.upstream.empty()) return;
-  ++r.attempt;  // Late callbacks of the attempt find nothing.
+  ++r.attempt;  // Late callbacks of the attempt have no effect.
   r.connection->Cancel();
   ReleaseUpstream(r);
 }
 
-void Gateway::Finish(Request& r, absl::string_view outcome,
-                     absl::string_view why) {
+void Gateway::FinishRequest(Request& r, absl::string_view outcome,
+                            absl::string_view why) {
   TimePoint now = clock_.Now();
-  DropAttempt(r);
-  if (r.waiting) waiting_.Leave(r.seq);
-  Duration took = now - r.exchange->arrived;
+  CancelAttempt(r);
+  if (r.waiting) wait_queue_.Leave(r.seq);
+  Duration elapsed = now - r.exchange->arrived;
   LogEvent(
       "request_ended",
       {{"request", r.facts.id},
-       {"asks", PrintName(r.asks)},
+       {"asks", PrintName(r.fingerprint)},
        {"outcome", outcome},
        {"why", why},
        {"route", r.route ? r.route->name : ""},
@@ -423,27 +432,27 @@
        {"tier", r.tier},
        {"rank", r.rank},
        {"sends", r.sends},
-       {"ms", ToMs(took)},
+       {"ms", ToMs(elapsed)},
        {"first_ms",
         r.stream_started ? ToMs(r.first_event_at - r.exchange->arrived) : -1},
        {"events", r.events},
        {"last_event", r.last_event.value_or(-1)},
-       {"end", r.end_known_by},
-       {"pause_ms", ToMs(r.longest_pause)},
-       {"pause_at", r.longest_pause_at}});
-  metrics_.CountFinished(LabelOf(r), outcome);
-  metrics_.ObserveDuration(LabelOf(r), ToSeconds(took));
+       {"end", r.end_detected_by},
+       {"pause_ms", ToMs(r.longest_gap)},
+       {"pause_at", r.longest_gap_upstream}});
+  metrics_.CountFinished(MetricLabel(r), outcome);
+  metrics_.ObserveDuration(MetricLabel(r), ToSeconds(elapsed));
   r.exchange->set_on_gone(nullptr);
   r.exchange->set_on_drained(nullptr);
-  give_up_.erase(r.give_up_entry);
+  deadlines_.erase(r.deadline_entry);
   requests_.erase(r.seq);
 }
 
-void Gateway::CallerLeft(uint64_t seq) {
+void Gateway::OnCallerDisconnect(uint64_t seq) {
   auto it = requests_.find(seq);
   if (it == requests_.end()) return;
-  Finish(*it->second, "caller_left", "");
-  ServeWaiting();
+  FinishRequest(*it->second, "caller_left", "");
+  DispatchWaiting();
 }
 
 }  // namespace medlarwalk
--- a/src/gateway.h
+++ b/src/gateway.h
@@ -1,7 +1,8 @@
-// The life of a request at an entry process: found its route and account,
-// waits for a place, goes to an upstream, is moved where that is allowed, and
-// gets one final answer. Decisions are in placement and waiting; this file
-// and upstream_pool do the input and output.
+// Request handling in an entry process. A request is matched to its route and
+// client account, waits for a slot, is sent to an upstream, is retried at
+// another one where that is allowed, and gets exactly one final answer.
+// Placement and waiting make the decisions; the gateway and upstream_pool do
+// the input and output.
 #ifndef MEDLARWALK_GATEWAY_H_
 #define MEDLARWALK_GATEWAY_H_
 
@@ -42,24 +43,25 @@
   WaitingPolicy waiting;
   ReadingGatePolicy reading;
   TierGuardPolicy tiers;
-  // Part of an upstream's connections that the entries use together; the rest
-  // covers entries that are not known yet or any more.
+  // Share of an upstream's connections that the known entry processes use
+  // together. The remainder is for entry processes that have just started or
+  // that are no longer counted but still running.
   double connection_share = 0.8;
-  // For this long since it was last told that its configuration is the newest
-  // (NoteInStep), an entry refuses for good what that does not allow. Zero: it
-  // always does.
+  // How long the configuration counts as current after control last confirmed
+  // it (NoteInStep). Within this time a request that the configuration does not
+  // allow gets a final rejection. If zero, the rejection is always final.
   Duration config_trust{};
-  // A request of `account` has begun to run at an upstream, as far as its
-  // answer tells. May be empty.
-  std::function<void(const std::string& account)> on_run;
-  // The time that all processes share, since any one moment. When empty: the
-  // clock's.
-  std::function<Millis(TimePoint now)> shared_time;
-  // How upstreams are reached; HTTP/1.1 connections when empty.
+  // Called when a request of `account` has begun to run at an upstream, as far
+  // as the answer shows. May be empty.
+  std::function<void(const std::string& account)> on_request_run;
+  // Returns the time that all processes share, counted from an arbitrary epoch.
+  // If empty, the local clock is used.
+  std::function<Millis(TimePoint now)> group_time;
+  // Opens links to upstreams. If empty, HTTP/1.1 connections are used.
   LinkOpener open_link;
 };
 
-// Thread safety: loop thread only.
+// Routes requests to upstreams. Thread safety: loop thread only.
 class Gateway {
  public:
   Gateway(struct ev_loop* loop, const Clock& clock, GatewayOptions options,
@@ -68,93 +70,104 @@
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
 
-  // Takes a request over; it gets exactly one final answer.
+  // Takes over a request and gives it exactly one final answer.
   void Handle(std::shared_ptr<CallerExchange> ex);
-  // A newer configuration. Requests under way keep the one they began with.
+  // Installs a newer configuration. Requests in flight keep the configuration
+  // they were admitted with.
   void SetConfig(std::shared_ptr<const RoutingConfig> config);
-  // The configuration in force here was the newest one at `as_of`.
+  // Records that the configuration in force here was the newest one at `as_of`.
   void NoteInStep(TimePoint as_of);
   void SetUpstreams(absl::Span<const UpstreamInfo> upstreams);
-  // How many entry processes share upstreams and allowances, and this one's
-  // place among them (negative: not known).
-  void SetServing(int serving, int place = -1);
-  // The requests that are sent nowhere, as far as this process knows.
+  // Sets how many entry processes share the upstreams and the retry budgets,
+  // and the index of this process among them (negative: not known).
+  void SetServing(int entry_count, int index = -1);
+  // Returns the quarantine of crash-inducing requests, which are not sent to
+  // any upstream.
   Quarantine& quarantine() { return quarantine_; }
-  // The limits that upstreams name, as far as this process knows.
+  // Returns the known rate limits that upstreams have announced.
   const LimitBook& limits() const { return limits_; }
-  void TakeLimits(absl::Span<const LimitRecord> told);
-  // What is known of an upstream from elsewhere than its answers.
+  // Merges rate limits published by control.
+  void MergeLimits(absl::Span<const LimitRecord> records);
+  // Records a load report that did not come with an answer.
   void NoteLoad(const std::string& upstream, int running, int waiting);
+  // Records whether the upstream is reachable, as observed other than by
+  // answers.
   void SetReachable(const std::string& upstream, bool reachable);
-  // Drives time-outs; called every few tens of milliseconds.
+  // Runs timeouts and periodic work. Must be called every few tens of
+  // milliseconds.
   void Tick();
   int open_requests() const { return static_cast<int>(requests_.size()); }
   bool has_config() const { return config_ != nullptr; }
-  // A planned stop has begun: new long generations, which would not end in
-  // the grace, are refused; their callers find another entry at once.
+  // Begins a planned stop. New long generations are rejected, because they
+  // would not finish within the grace period; their callers can go to another
+  // entry process at once.
   void BeginDrain() { draining_ = true; }
-  // Ends what is still open: the end of a planned stop's grace.
-  void EndAll();
+  // Gives every open request its final answer, when the grace period of a
+  // planned stop ends.
+  void FailOpenRequests();
 
  private:
   struct Request;
   using RequestPtr = std::unique_ptr<Request>;
 
-  // Admits and dispatches, or refuses, a request that has just come or that
-  // waited for the first configuration.
-  void Begin(Request& r);
-  void BeginEarly();
-  bool MayBeOutdated(const absl::Status& refusal) const;
+  // Admits and dispatches a request, or rejects it. The request has just
+  // arrived or has waited for a configuration.
+  void AdmitAndDispatch(Request& r);
+  void ResumeAwaitingConfig();
+  bool ConfigMayBeOutdated(const absl::Status& rejection) const;
   absl::Status Admit(Request& r);
   void Dispatch(Request& r);
-  PlacementAsk AskFor(const Request& r) const;
+  PlacementAsk PlacementInputFor(const Request& r) const;
   bool TrySend(Request& r);
-  void Send(Request& r, size_t upstream);
-  bool OnHead(Request& r, const MessageHead& head);
-  void OnBody(Request& r, absl::string_view data);
-  void OnEnd(Request& r, CallEnd end, absl::string_view why);
-  void NoteLimit(const Request& r, const UpstreamBoard& u,
-                 const AnswerFacts& f);
-  void NoteRest(const Request& r, UpstreamBoard& u, Duration rest);
-  void ApplyLimits();
-  void KeepLimits(TimePoint now);
-  TurnAsk TurnAskFor(const UpstreamBoard& u, TimePoint now) const;
-  bool HasTurn(const UpstreamBoard& u, TimePoint now) const;
-  void TakeTurn(UpstreamBoard& u, TimePoint now);
-  void NoteRun(Request& r);
-  void PromptRead(Request& r, TimePoint now);
+  void SendToUpstream(Request& r, size_t upstream);
+  bool OnAnswerHead(Request& r, const MessageHead& head);
+  void OnAnswerBody(Request& r, absl::string_view data);
+  void OnCallEnd(Request& r, CallEnd end, absl::string_view why);
+  void RecordAnnouncedLimit(const Request& r, const UpstreamBoard& u,
+                            const AnswerFacts& f);
+  void RecordBackoff(const Request& r, UpstreamBoard& u, Duration backoff);
+  void ApplyLimitsToBoards();
+  void ExpireLimits(TimePoint now);
+  TurnAsk SendSlotQueryFor(const UpstreamBoard& u, TimePoint now) const;
+  bool HasSendSlot(const UpstreamBoard& u, TimePoint now) const;
+  void UseSendSlot(UpstreamBoard& u, TimePoint now);
+  void CountAccountRun(Request& r);
+  void OnPrefillDone(Request& r, TimePoint now);
   bool RelayEvent(Request& r, absl::string_view event);
-  void NotePauseOf(Request& r, TimePoint now);
-  void NotePaceOf(Request& r, TimePoint now);
-  void AnswerWhole(Request& r);
-  Endpoint CopySource(const Request& r, const UpstreamBoard& to, TimePoint now);
-  // The attempt failed; moves the request on or gives it up.
-  void AttemptFailed(Request& r, CallEnd end, absl::string_view why);
-  bool MayMove(Request& r, CallEnd end);
-  void NoteEndOf(const Request& r, CallEnd end);
-  void DropAttempt(Request& r);
+  void RecordEventGap(Request& r, TimePoint now);
+  void RecordDecodePace(Request& r, TimePoint now);
+  void RespondWithHeldAnswer(Request& r);
+  Endpoint FindCopySource(const Request& r, const UpstreamBoard& to,
+                          TimePoint now);
+  // Retries the request at another upstream after a failed attempt, or gives it
+  // its final answer.
+  void HandleFailedAttempt(Request& r, CallEnd end, absl::string_view why);
+  bool ClaimRetry(Request& r, CallEnd end);
+  void CheckForUpstreamTermination(const Request& r, CallEnd end);
+  void CancelAttempt(Request& r);
   void ReleaseUpstream(Request& r);
-  HeaderList HeadersOf(const MessageHead& answer) const;
-  void Fail(Request& r, ErrorKind kind, absl::string_view why);
-  void NoteTurnedAway(const Request& r);
-  void Finish(Request& r, absl::string_view outcome, absl::string_view why);
-  void CallerLeft(uint64_t seq);
-  void UpstreamCrashed(const std::string& upstream, absl::string_view how,
-                       const std::vector<CrashWatch::Cut>& cut);
-  // Ends what was found meanwhile to crash upstreams.
-  void EndQuarantined();
-  void CheckStall(Request& r, TimePoint now);
-  void ServeWaiting();
-  static std::string LabelOf(const Request& r);
-  Request* Find(uint64_t seq, int attempt);
-  void NoteDemand(TimePoint now);
-  void CountWaiting();
-  Duration RetryAfter(const Request& r, ErrorKind kind);
-  ReadingGate& GateFor(const std::string& service);
-  TierGuard& GuardFor(const std::string& service);
-  // Logs why `r`, which waited, has no place.
-  void LogNoPlace(const Request& r, TimePoint now);
-  RetryBudget& BudgetFor(const std::string& service);
+  HeaderList HeadersForCaller(const MessageHead& answer) const;
+  void FailRequest(Request& r, ErrorKind kind, absl::string_view why);
+  void RecordCapacityRejection(const Request& r);
+  void FinishRequest(Request& r, absl::string_view outcome,
+                     absl::string_view why);
+  void OnCallerDisconnect(uint64_t seq);
+  void OnUpstreamCrash(const std::string& upstream, absl::string_view how,
+                       const std::vector<CrashWatch::InterruptedCall>& calls);
+  // Fails requests that were quarantined after they had been admitted.
+  void FailQuarantinedRequests();
+  void RetryIfStalled(Request& r, TimePoint now);
+  void DispatchWaiting();
+  static std::string MetricLabel(const Request& r);
+  Request* FindAttempt(uint64_t seq, int attempt);
+  void UpdateDecodeDemand(TimePoint now);
+  void UpdateWaitingMetrics();
+  Duration ComputeRetryAfter(const Request& r, ErrorKind kind);
+  ReadingGate& PrefillLimiterFor(const std::string& service);
+  TierGuard& TierGuardFor(const std::string& service);
+  // Logs why no upstream could take the waiting request `r`.
+  void LogPlacementFailure(const Request& r, TimePoint now);
+  RetryBudget& RetryBudgetFor(const std::string& service);
 
   const Clock& clock_;
   GatewayOptions options_;
@@ -163,36 +176,42 @@
   std::mt19937_64 random_;
   std::shared_ptr<const RoutingConfig> config_;
   UpstreamPool pool_;
-  CrashWatch crashes_;
+  CrashWatch crash_watch_;
   Quarantine quarantine_;
   LimitBook limits_;
-  uint64_t limits_applied_ = 0;
-  uint64_t verdicts_seen_ = 0;
-  PartMemory parts_;
-  WaitingRoom waiting_;
-  int serving_;
-  // Of late the most, and since when: while control processes change, some are
-  // not counted for a moment, and too many turns would be taken.
-  TurnPlace turn_place_;
-  TimePoint turn_place_at_{};
-  // Requests that wait for a configuration, the first or a newer one.
-  std::vector<uint64_t> early_;
-  TimePoint in_step_at_{};
+  uint64_t limit_changes_applied_ = 0;
+  uint64_t quarantine_changes_seen_ = 0;
+  PartMemory prefix_holders_;
+  WaitingRoom wait_queue_;
+  int entry_count_;
+  // Entry count and index that determine the send slots of this process, and
+  // when the count was last set. A lower count is adopted only after a delay:
+  // while control processes change, some entry processes are not counted for a
+  // moment, and this process would use too many slots.
+  TurnPlace send_slot_share_;
+  TimePoint send_slot_share_set_at_{};
+  // Requests that wait for the first configuration or for a newer one.
+  std::vector<uint64_t> awaiting_config_;
+  TimePoint config_current_at_{};
   std::unordered_map<uint64_t, RequestPtr> requests_;
-  std::multimap<TimePoint, uint64_t> give_up_;
-  std::map<std::string, RetryBudget> budgets_;
-  // When a request of each service was last answered.
-  std::map<std::string, TimePoint> served_at_;
-  // Of each service with engines; the generations under way here only.
-  std::map<std::string, DecodeDemand> demand_;
+  std::multimap<TimePoint, uint64_t> deadlines_;
+  std::map<std::string, RetryBudget> retry_budgets_;
+  // When a request to the service was last answered, by service.
+  std::map<std::string, TimePoint> last_answered_at_;
+  // Demand for long generations as seen by this process, by service; only
+  // services with engines.
+  std::map<std::string, DecodeDemand> decode_demand_;
+  // Number of engines kept for long generations, by service.
   std::map<std::string, int> decode_engines_;
-  std::map<std::string, ReadingGate> reading_;  // By service.
-  std::map<std::string, TierGuard> guards_;     // By service.
-  std::map<std::string, int> waiting_told_;     // To the metrics, by label.
-  TimePoint ticked_at_{};
+  std::map<std::string, ReadingGate> prefill_limiters_;  // By service.
+  std::map<std::string, TierGuard> tier_guards_;         // By service.
+  // Number of waiting requests as last set in the metrics, by metric label.
+  std::map<std::string, int> reported_waiting_;
+  TimePoint demand_updated_at_{};
   uint64_t next_seq_ = 1;
-  bool serving_waiting_ = false;
-  bool paces_changed_ = false;  // Or the engines: slow ones are to be marked.
+  bool dispatching_waiting_ = false;
+  // Decode paces or the upstream list changed since slow engines were marked.
+  bool decode_paces_changed_ = false;
   bool draining_ = false;
 };
 
--- a/src/gateway_answer.cc
+++ b/src/gateway_answer.cc
@@ -1,5 +1,6 @@
-// The gateway's part that takes an upstream's answer: what is passed on as it
-// comes, what is held until whole, what is not believed.
+// Gateway: handling of an upstream's answer. Signed successful streams are
+// relayed event by event. Other answers are buffered until they are complete.
+// Answers to other requests and successes without a signature are not trusted.
 #include "absl/strings/str_cat.h"
 #include "gateway.h"
 #include "gateway_request.h"
@@ -8,14 +9,16 @@
 namespace medlarwalk {
 namespace {
 
-// Answers that are not streams are held until whole, up to this.
-constexpr size_t kMostHeldAnswer = 4 << 20;
-// A caller that reads more slowly than its upstream sends holds this much.
-constexpr size_t kMostUnsent = size_t{256} * 1024;
+// Largest buffered answer. Answers that are not streams are buffered until they
+// are complete.
+constexpr size_t kMaxHeldAnswerBytes = 4 << 20;
+// Unsent bytes at which reading from the upstream pauses until the caller has
+// read them all.
+constexpr size_t kMaxUnsentBytes = size_t{256} * 1024;
 
 }  // namespace
 
-bool Gateway::OnHead(Request& r, const MessageHead& head) {
+bool Gateway::OnAnswerHead(Request& r, const MessageHead& head) {
   AnswerFacts f = dialect_.read_answer(head);
   TimePoint now = clock_.Now();
   bool success = head.status / 100 == 2;
@@ -30,9 +33,9 @@
   if (UpstreamBoard* u = pool_.Find(r.upstream)) {
     u->quiet_since = now;
     if (f.has_load) NoteReport(*u, f.running, f.waiting, now);
-    NoteLimit(r, *u, f);
-    if (!f.other_upstream) NoteRest(r, *u, f.rest);
-    if (!f.other_upstream && f.leaving && pool_.NoteLeaving(r.upstream)) {
+    RecordAnnouncedLimit(r, *u, f);
+    if (!f.other_upstream) RecordBackoff(r, *u, f.rest);
+    if (!f.other_upstream && f.leaving && pool_.RecordDraining(r.upstream)) {
       LogEvent("upstream_says_leaving", {{"upstream", r.upstream},
                                          {"request", r.facts.id},
                                          {"in_flight", u->in_flight}});
@@ -42,35 +45,36 @@
   r.answer_facts = std::move(f);
   r.have_head = true;
   r.head_at = now;
-  if (!r.answer_facts.not_run) r.maybe_run = true;
+  if (!r.answer_facts.not_run) r.may_have_run = true;
   r.relaying = r.stream() && success && r.answer_facts.signed_whole;
   bool first_token_follows = r.service->engine && success;
-  if (!r.answer_facts.not_run && !first_token_follows) NoteRun(r);
+  if (!r.answer_facts.not_run && !first_token_follows) CountAccountRun(r);
   return true;
 }
 
-// Counts a request of an account that has begun to run, once however often it
-// is sent. An engine begins it with its first token, or when it answers that it
-// failed; a plain service before it answers at all.
-void Gateway::NoteRun(Request& r) {
-  if (r.run_noted || !options_.on_run || r.account.empty()) return;
-  r.run_noted = true;
-  options_.on_run(r.account);
+// Counts a request of a client account that has begun to run, once regardless
+// of retries. An engine has begun a request when its first token or its failure
+// answer arrives; a plain service has begun it before it answers.
+void Gateway::CountAccountRun(Request& r) {
+  if (r.run_counted || !options_.on_request_run || r.account.empty()) return;
+  r.run_counted = true;
+  options_.on_request_run(r.account);
 }
 
-void Gateway::OnBody(Request& r, absl::string_view data) {
+void Gateway::OnAnswerBody(Request& r, absl::string_view data) {
   TimePoint now = clock_.Now();
   r.progress_at = now;
   if (UpstreamBoard* u = pool_.Find(r.upstream)) u->quiet_since = now;
-  if (r.reading) {
-    PromptRead(r, now);
-    // Before anyone who comes now: those who wait were here first.
-    ServeWaiting();
+  if (r.prefill_pending) {
+    OnPrefillDone(r, now);
+    // Requests already waiting get the freed slot before requests that arrive
+    // now.
+    DispatchWaiting();
   }
   if (!r.relaying) {
-    r.held.append(data.data(), data.size());
-    if (r.held.size() > kMostHeldAnswer) {
-      AttemptFailed(r, CallEnd::kBrokenOff, "answer too large");
+    r.held_body.append(data.data(), data.size());
+    if (r.held_body.size() > kMaxHeldAnswerBytes) {
+      HandleFailedAttempt(r, CallEnd::kBrokenOff, "answer too large");
     }
     return;
   }
@@ -78,54 +82,58 @@
   int attempt = r.attempt;
   bool whole = r.splitter.Feed(
       data, [&](absl::string_view event) { return RelayEvent(r, event); });
-  if (!Find(seq, attempt)) return;
+  if (!FindAttempt(seq, attempt)) return;
   if (!whole) {
-    AttemptFailed(r, CallEnd::kBrokenOff, "events out of order");
+    HandleFailedAttempt(r, CallEnd::kBrokenOff, "events out of order");
     return;
   }
-  if (r.exchange->unsent() > kMostUnsent) {
+  if (r.exchange->unsent() > kMaxUnsentBytes) {
     r.connection->PauseRead(true);
     r.exchange->set_on_drained([this, seq, attempt] {
-      if (Request* q = Find(seq, attempt)) q->connection->PauseRead(false);
+      if (Request* q = FindAttempt(seq, attempt))
+        q->connection->PauseRead(false);
     });
   }
 }
 
-// The first of the answer's body has come: the prompt has been read.
-void Gateway::PromptRead(Request& r, TimePoint now) {
-  r.reading = false;
-  ReadingGate& gate = GateFor(r.service->name);
-  gate.Ended(r.tier);
-  Duration took = now - r.sent_at;
-  gate.NoteFirstEvent(took, r.route->latency_target);
+// Records the end of the prefill, when the first bytes of the answer's body
+// arrive.
+void Gateway::OnPrefillDone(Request& r, TimePoint now) {
+  r.prefill_pending = false;
+  ReadingGate& limiter = PrefillLimiterFor(r.service->name);
+  limiter.Ended(r.tier);
+  Duration elapsed = now - r.sent_at;
+  limiter.NoteFirstEvent(elapsed, r.route->latency_target);
   UpstreamBoard* u = pool_.Find(r.upstream);
   if (!u) return;
   --u->reading;
-  NoteFirstEvent(*u, took, r.route->latency_target, options_.placement);
+  NoteFirstEvent(*u, elapsed, r.route->latency_target, options_.placement);
 }
 
-// Passes one event on. Returns false when it does not follow the last one.
+// Relays one event to the caller. Returns false if the event does not follow
+// the previous one.
 bool Gateway::RelayEvent(Request& r, absl::string_view event) {
   std::optional<int64_t> id = EventId(event);
   if (id && r.last_event) {
-    if (*id <= *r.last_event) return true;  // Sent again by a resumed run.
+    // A resumed run repeats events that the caller already has.
+    if (*id <= *r.last_event) return true;
     if (*id != *r.last_event + 1) return false;
   }
   if (r.service->engine && r.events == 0) {
-    parts_.Note(r.facts.parts, r.upstream, clock_.Now());
+    prefix_holders_.Note(r.facts.parts, r.upstream, clock_.Now());
   }
-  if (r.service->engine) NoteRun(r);
+  if (r.service->engine) CountAccountRun(r);
   if (!r.stream_started) {
     r.exchange->StartAnswer(r.answer.status, r.answer.reason,
-                            HeadersOf(r.answer));
+                            HeadersForCaller(r.answer));
     r.stream_started = true;
     r.first_event_at = clock_.Now();
     metrics_.ObserveFirstToken(
-        LabelOf(r), ToSeconds(r.first_event_at - r.exchange->arrived));
+        MetricLabel(r), ToSeconds(r.first_event_at - r.exchange->arrived));
   }
   TimePoint now = clock_.Now();
-  if (r.events > 0) NotePauseOf(r, now);
-  if (r.shape == WorkShape::kDecode) NotePaceOf(r, now);
+  if (r.events > 0) RecordEventGap(r, now);
+  if (r.shape == WorkShape::kDecode) RecordDecodePace(r, now);
   r.last_event_at = now;
   r.exchange->Write(event);
   if (id) r.last_event = id;
@@ -133,90 +141,90 @@
   return true;
 }
 
-// Notes the time since the last event, which one of this attempt follows.
-void Gateway::NotePauseOf(Request& r, TimePoint now) {
-  Duration pause = now - r.last_event_at;
-  if (pause > r.longest_pause) {
-    r.longest_pause = pause;
-    r.longest_pause_at = r.upstream;
+// Records the gap between the previous event and the current one.
+void Gateway::RecordEventGap(Request& r, TimePoint now) {
+  Duration gap = now - r.last_event_at;
+  if (gap > r.longest_gap) {
+    r.longest_gap = gap;
+    r.longest_gap_upstream = r.upstream;
   }
   bool same_upstream = r.last_event_at > r.sent_at;
   if (UpstreamBoard* u = pool_.Find(r.upstream); u && same_upstream) {
-    NoteEventGap(*u, pause);
+    NoteEventGap(*u, gap);
   }
   if (r.shape != WorkShape::kDecode || !same_upstream) return;
-  NotePause(ToSeconds(pause) / ToSeconds(r.route->pause_target), now,
-            options_.placement, &demand_[r.service->name]);
+  NotePause(ToSeconds(gap) / ToSeconds(r.route->pause_target), now,
+            options_.placement, &decode_demand_[r.service->name]);
 }
 
-// Notes how fast events follow each other, a few in a row at a time: single
-// ones are moved together and apart on their way.
-void Gateway::NotePaceOf(Request& r, TimePoint now) {
-  constexpr int kEventsInRow = 8;
-  if (r.pace_from < r.sent_at) {
-    r.pace_from = now;
-    r.pace_events = 0;
+// Records the decode pace as a mean over a few consecutive events. Single gaps
+// are no measure, because the network delays events unevenly.
+void Gateway::RecordDecodePace(Request& r, TimePoint now) {
+  constexpr int kPaceWindowEvents = 8;
+  if (r.pace_window_start < r.sent_at) {
+    r.pace_window_start = now;
+    r.pace_window_events = 0;
     return;
   }
-  if (++r.pace_events < kEventsInRow) return;
+  if (++r.pace_window_events < kPaceWindowEvents) return;
   if (UpstreamBoard* u = pool_.Find(r.upstream)) {
-    NotePace(*u, (now - r.pace_from) / kEventsInRow);
-    paces_changed_ = true;
+    NotePace(*u, (now - r.pace_window_start) / kPaceWindowEvents);
+    decode_paces_changed_ = true;
   }
-  r.pace_from = now;
-  r.pace_events = 0;
+  r.pace_window_start = now;
+  r.pace_window_events = 0;
 }
 
-void Gateway::OnEnd(Request& r, CallEnd end, absl::string_view why) {
+void Gateway::OnCallEnd(Request& r, CallEnd end, absl::string_view why) {
   TimePoint now = clock_.Now();
   if (end != CallEnd::kWhole) {
-    AttemptFailed(r, end, why);
+    HandleFailedAttempt(r, end, why);
     return;
   }
-  r.end_known_by = std::string(why);
+  r.end_detected_by = std::string(why);
   UpstreamBoard* u = pool_.Find(r.upstream);
   bool success = r.answer.status / 100 == 2;
   if (success && !r.answer_facts.signed_whole) {
-    AttemptFailed(r, CallEnd::kNoAnswer, "success without signature");
+    HandleFailedAttempt(r, CallEnd::kNoAnswer, "success without signature");
     return;
   }
   if (r.answer_facts.not_run || r.answer.status / 100 == 5) {
-    AttemptFailed(r, CallEnd::kWhole,
-                  r.answer_facts.not_run
-                      ? absl::StrCat("refused ", r.answer.status)
-                      : absl::StrCat("status ", r.answer.status));
+    HandleFailedAttempt(r, CallEnd::kWhole,
+                        r.answer_facts.not_run
+                            ? absl::StrCat("refused ", r.answer.status)
+                            : absl::StrCat("status ", r.answer.status));
     return;
   }
   if (r.relaying && r.splitter.pending() > 0) {
-    AttemptFailed(r, CallEnd::kBrokenOff, "ends inside an event");
+    HandleFailedAttempt(r, CallEnd::kBrokenOff, "ends inside an event");
     return;
   }
   if (u) NoteSuccess(*u, now);
-  if (success) quarantine_.NoteServed(r.asks);
-  served_at_[r.service->name] = now;
+  if (success) quarantine_.NoteServed(r.fingerprint);
+  last_answered_at_[r.service->name] = now;
   ReleaseUpstream(r);
   if (r.stream_started && !r.relaying) {
-    // The stream's head is out: another answer cannot follow it.
-    Fail(r, ErrorKind::kOutcomeUnknown,
-         absl::StrCat("status ", r.answer.status, " on resuming"));
-    ServeWaiting();
+    // The head of the stream was already sent, so no other answer can follow.
+    FailRequest(r, ErrorKind::kOutcomeUnknown,
+                absl::StrCat("status ", r.answer.status, " on resuming"));
+    DispatchWaiting();
     return;
   }
   if (r.stream_started) {
     r.exchange->Finish();
   } else {
-    // Also a stream without events: whole as it is.
-    AnswerWhole(r);
+    // Also covers a stream that ended without events, which is complete.
+    RespondWithHeldAnswer(r);
   }
-  Finish(r, "answered", absl::StrCat(r.answer.status));
-  ServeWaiting();
+  FinishRequest(r, "answered", absl::StrCat(r.answer.status));
+  DispatchWaiting();
 }
 
-void Gateway::AnswerWhole(Request& r) {
-  r.exchange->Respond(r.answer.status, HeadersOf(r.answer), r.held);
+void Gateway::RespondWithHeldAnswer(Request& r) {
+  r.exchange->Respond(r.answer.status, HeadersForCaller(r.answer), r.held_body);
 }
 
-HeaderList Gateway::HeadersOf(const MessageHead& answer) const {
+HeaderList Gateway::HeadersForCaller(const MessageHead& answer) const {
   HeaderList out;
   for (const auto& h : answer.headers) {
     if (IsHopByHop(h.first)) continue;
--- a/src/gateway_failure.cc
+++ b/src/gateway_failure.cc
@@ -1,5 +1,5 @@
-// The gateway's part that decides what becomes of a request whose attempt has
-// failed: it goes elsewhere where that is allowed, or gets its final answer.
+// Gateway: handling of failed attempts. A request is retried at another
+// upstream where that is allowed; otherwise it gets its final answer.
 #include <algorithm>
 
 #include "absl/strings/str_cat.h"
@@ -10,21 +10,23 @@
 namespace medlarwalk {
 namespace {
 
-// Less time than this left is not worth another sending.
-constexpr auto kLeastTime = Millis(20);
-// The first come-back time told, before any load is known, and its spread:
-// callers told the same moment would return together.
-constexpr double kRetryAfterSeconds = 0.3;
+// Shortest time to the deadline at which a request is sent again.
+constexpr auto kMinTimeToRetry = Millis(20);
+// Retry-After sent before any load is known (also its lower bound), its random
+// spread and its upper bound. Without the spread, callers rejected at the same
+// moment would return together.
+constexpr double kMinRetryAfterSeconds = 0.3;
 constexpr double kRetryAfterSpread = 0.5;
-constexpr double kMostRetryAfterSeconds = 3;
-// A request began to run no longer ago than this where its answer's head, or
-// before that the request itself, is no older.
-constexpr auto kJustBegun = Millis(500);
-// Come-back time where another entry can serve at once.
-constexpr auto kRetryElsewhere = Millis(20);
+constexpr double kMaxRetryAfterSeconds = 3;
+// A request counts as just begun for this long after the answer's head arrived,
+// or after it was sent if no head has arrived.
+constexpr auto kJustBegunWindow = Millis(500);
+// Retry-After for callers that another entry process can serve at once.
+constexpr auto kDrainRetryAfter = Millis(20);
 
-// Whether a request that ended so was turned away for want of a place.
-bool NoPlace(ErrorKind kind) {
+// Returns whether `kind` means that the request was rejected or shed for lack
+// of capacity.
+bool IsCapacityRejection(ErrorKind kind) {
   return kind == ErrorKind::kTargetUnmeetable ||
          kind == ErrorKind::kOverloaded || kind == ErrorKind::kShed;
 }
@@ -45,22 +47,24 @@
 
 }  // namespace
 
-bool Gateway::MayMove(Request& r, CallEnd end) {
+bool Gateway::ClaimRetry(Request& r, CallEnd end) {
   TimePoint now = clock_.Now();
-  if (r.exchange->gone() || r.give_up_at - now < kLeastTime) return false;
-  // Whatever it is sent to ends as well.
-  if (quarantine_.Refuses(r.asks)) return false;
-  // Waiting for a place helps only where an upstream is left to try.
-  bool anyone_left = AnyLeft(pool_.boards(), AskFor(r));
+  if (r.exchange->gone() || r.deadline - now < kMinTimeToRetry) return false;
+  // A quarantined request would crash the next upstream too.
+  if (quarantine_.Refuses(r.fingerprint)) return false;
+  // Waiting for a slot helps only if some upstream has not been tried.
+  bool upstream_left = AnyLeft(pool_.boards(), PlacementInputFor(r));
   if (end == CallEnd::kNotSent) {
-    // Nothing reached that upstream: it costs neither an attempt nor budget.
+    // Nothing reached the upstream, so the failure costs neither an attempt nor
+    // retry budget.
     --r.sends;
-    return ++r.connect_failures < kConnectTimeouts.size() && anyone_left;
+    return ++r.connect_failures < kConnectTimeouts.size() && upstream_left;
   }
   bool not_run = r.have_head && r.answer_facts.not_run;
   if (!not_run && !r.repeatable()) return false;
-  if (r.sends >= r.route->max_attempts || !anyone_left) return false;
-  if (!BudgetFor(r.service->name).Take(options_.retry, serving_, now)) {
+  if (r.sends >= r.route->max_attempts || !upstream_left) return false;
+  if (!RetryBudgetFor(r.service->name)
+           .Take(options_.retry, entry_count_, now)) {
     metrics_.CountRetry("budget_spent");
     return false;
   }
@@ -68,82 +72,86 @@
   return true;
 }
 
-// What the end of an attempt says of its upstream's own end.
-void Gateway::NoteEndOf(const Request& r, CallEnd end) {
+// Records a termination of the upstream, or a suspicion of one, if the end of
+// the attempt points to it.
+void Gateway::CheckForUpstreamTermination(const Request& r, CallEnd end) {
   bool answered = r.have_head && end == CallEnd::kWhole;
   TimePoint now = clock_.Now();
   if (answered && !r.answer_facts.upstream_end.empty()) {
-    bool just_begun = now - r.sent_at < kJustBegun;
-    UpstreamCrashed(absl::StrCat(r.upstream, "/", r.answer_facts.upstream_end),
-                    "told", {{r.asks, {0, r.sent_at, now, just_begun, false}}});
+    bool just_begun = now - r.sent_at < kJustBegunWindow;
+    OnUpstreamCrash(absl::StrCat(r.upstream, "/", r.answer_facts.upstream_end),
+                    "told",
+                    {{r.fingerprint, {0, r.sent_at, now, just_begun, false}}});
   } else if (answered && r.answer_facts.other_upstream) {
-    crashes_.NoteEnded(r.upstream, "replaced");
+    crash_watch_.RecordTermination(r.upstream, "replaced");
   } else if (end == CallEnd::kNotSent) {
-    if (r.connection->refused()) crashes_.NoteEnded(r.upstream, "refused");
+    if (r.connection->refused())
+      crash_watch_.RecordTermination(r.upstream, "refused");
   } else if (!answered && !r.connection->open()) {
     TimePoint began = r.have_head ? r.head_at : r.sent_at;
-    bool just_begun = now - began < kJustBegun;
-    crashes_.NoteCut(r.upstream,
-                     {r.asks, {0, r.sent_at, now, just_begun, false}});
+    bool just_begun = now - began < kJustBegunWindow;
+    crash_watch_.RecordInterruptedCall(
+        r.upstream, {r.fingerprint, {0, r.sent_at, now, just_begun, false}});
   }
 }
 
-void Gateway::UpstreamCrashed(const std::string& upstream,
-                              absl::string_view how,
-                              const std::vector<CrashWatch::Cut>& cut) {
+void Gateway::OnUpstreamCrash(
+    const std::string& upstream, absl::string_view how,
+    const std::vector<CrashWatch::InterruptedCall>& calls) {
   metrics_.CountCrash(how);
-  for (const CrashWatch::Cut& c : cut) {
-    quarantine_.NoteCrash(c.asks, upstream, c.crash);
+  for (const CrashWatch::InterruptedCall& c : calls) {
+    quarantine_.NoteCrash(c.fingerprint, upstream, c.crash);
     LogEvent("crashed_under", {{"upstream", upstream},
-                               {"asks", PrintName(c.asks)},
+                               {"asks", PrintName(c.fingerprint)},
                                {"sent_ms", ToMs(c.crash.at - c.crash.sent_at)},
                                {"just_begun", c.crash.just_begun ? 1 : 0}});
   }
 }
 
-// A request under way that has not begun to answer may wait at an upstream, and
-// would crash that as well.
-void Gateway::EndQuarantined() {
-  if (quarantine_.verdicts() == verdicts_seen_) return;
-  verdicts_seen_ = quarantine_.verdicts();
+// Fails quarantined requests whose answers have not begun. Such a request may
+// still be queued at an upstream and would crash it too.
+void Gateway::FailQuarantinedRequests() {
+  if (quarantine_.verdicts() == quarantine_changes_seen_) return;
+  quarantine_changes_seen_ = quarantine_.verdicts();
   metrics_.SetQuarantined(quarantine_.refused());
-  std::vector<uint64_t> ended;
+  std::vector<uint64_t> to_fail;
   for (const auto& [seq, r] : requests_) {
-    if (!r->stream_started && quarantine_.Refuses(r->asks)) {
-      ended.push_back(seq);
+    if (!r->stream_started && quarantine_.Refuses(r->fingerprint)) {
+      to_fail.push_back(seq);
     }
   }
-  for (uint64_t seq : ended) {
+  for (uint64_t seq : to_fail) {
     Request& r = *requests_.at(seq);
     bool sent = !r.upstream.empty() && r.connection->sent();
-    Fail(r,
-         sent || r.maybe_run ? ErrorKind::kOutcomeUnknown
-                             : ErrorKind::kQuarantined,
-         "crashes upstreams");
+    FailRequest(r,
+                sent || r.may_have_run ? ErrorKind::kOutcomeUnknown
+                                       : ErrorKind::kQuarantined,
+                "crashes upstreams");
   }
-  if (!ended.empty()) ServeWaiting();
+  if (!to_fail.empty()) DispatchWaiting();
 }
 
-void Gateway::AttemptFailed(Request& r, CallEnd end, absl::string_view why) {
+void Gateway::HandleFailedAttempt(Request& r, CallEnd end,
+                                  absl::string_view why) {
   TimePoint now = clock_.Now();
   bool not_run = r.have_head && r.answer_facts.not_run;
   if (UpstreamBoard* u = pool_.Find(r.upstream)) {
     NoteFailure(*u, now, end != CallEnd::kWhole, options_.placement);
     if (r.have_head && r.answer_facts.other_upstream && !u->ended) {
       u->ended = true;
-      parts_.Forget(u->info.id);
+      prefix_holders_.Forget(u->info.id);
       LogEvent("upstream_ended", {{"upstream", u->info.id}});
     }
   }
-  NoteEndOf(r, end);
+  CheckForUpstreamTermination(r, end);
   if (end != CallEnd::kNotSent && !not_run) {
-    r.maybe_run = true;
-    // A plain service whose answer is lost has run it, as a rule.
-    if (!r.service->engine) NoteRun(r);
+    r.may_have_run = true;
+    // A plain service whose answer was lost has usually run the request.
+    if (!r.service->engine) CountAccountRun(r);
   }
   LogEvent("attempt_failed",
            {{"request", r.facts.id},
-            {"asks", PrintName(r.asks)},
+            {"asks", PrintName(r.fingerprint)},
             {"upstream", r.upstream},
             {"attempt", r.sends + static_cast<int>(r.connect_failures)},
             {"end", Name(end)},
@@ -153,73 +161,79 @@
   if (answered) {
     ReleaseUpstream(r);
   } else {
-    DropAttempt(r);
+    CancelAttempt(r);
   }
-  if (MayMove(r, end)) {
+  if (ClaimRetry(r, end)) {
     Dispatch(r);
     return;
   }
   if (answered && !not_run && !r.stream_started) {
-    AnswerWhole(r);
-    Finish(r, "answered", absl::StrCat(r.answer.status));
-  } else if (r.maybe_run) {
-    Fail(r, ErrorKind::kOutcomeUnknown, why);
+    RespondWithHeldAnswer(r);
+    FinishRequest(r, "answered", absl::StrCat(r.answer.status));
+  } else if (r.may_have_run) {
+    FailRequest(r, ErrorKind::kOutcomeUnknown, why);
   } else {
-    Fail(r, ErrorKind::kNotRun, why);
+    FailRequest(r, ErrorKind::kNotRun, why);
   }
-  ServeWaiting();
+  DispatchWaiting();
 }
 
-Duration Gateway::RetryAfter(const Request& r, ErrorKind kind) {
+Duration Gateway::ComputeRetryAfter(const Request& r, ErrorKind kind) {
   if (kind == ErrorKind::kQuarantined) {
-    return quarantine_.RefusedFor(r.asks, clock_.Now());
+    return quarantine_.RefusedFor(r.fingerprint, clock_.Now());
   }
-  // Other entries are there: nothing to wait for.
-  if (kind == ErrorKind::kDraining) return kRetryElsewhere;
+  // Other entry processes can serve the caller, so there is no need to wait.
+  if (kind == ErrorKind::kDraining) return kDrainRetryAfter;
   std::uniform_real_distribution<double> spread(1 - kRetryAfterSpread,
                                                 1 + kRetryAfterSpread);
-  double seconds = kRetryAfterSeconds;
-  // A service that answers nobody has been down for a while and will be for
+  double seconds = kMinRetryAfterSeconds;
+  // A service that has been down for some time is expected to stay down for
   // about as long again.
-  auto it = r.service ? served_at_.find(r.service->name) : served_at_.end();
-  if (it != served_at_.end()) {
+  auto it = r.service ? last_answered_at_.find(r.service->name)
+                      : last_answered_at_.end();
+  if (it != last_answered_at_.end()) {
     seconds = std::clamp(ToSeconds(clock_.Now() - it->second),
-                         kRetryAfterSeconds, kMostRetryAfterSeconds);
+                         kMinRetryAfterSeconds, kMaxRetryAfterSeconds);
   }
-  // Sooner there is nobody to send it to; not all at the first moment either.
-  Duration rest{};
+  // While all upstreams have requested backoff, no request can be sent. The
+  // random spread keeps callers from all returning at the moment the backoff
+  // ends.
+  Duration backoff{};
   if (r.service) {
-    rest = RestLeft(pool_.boards(), r.service->name, clock_.Now());
+    backoff = RestLeft(pool_.boards(), r.service->name, clock_.Now());
   }
-  if (rest > Duration::zero()) seconds = kRetryAfterSeconds;
-  return rest + BoundedSeconds(seconds * spread(random_));
+  if (backoff > Duration::zero()) seconds = kMinRetryAfterSeconds;
+  return backoff + BoundedSeconds(seconds * spread(random_));
 }
 
-// Tells the guard of a request that had no place, where there was any to be
-// had: in an outage nobody takes the place of another, and once it is over the
-// less urgent need not wait until it is forgotten.
-void Gateway::NoteTurnedAway(const Request& r) {
+// Reports to the tier guard a request rejected for lack of capacity, unless no
+// upstream is usable. In an outage no request takes the slot of another, and
+// requests of less urgent tiers need not wait for the guard to forget the
+// rejections once the outage is over.
+void Gateway::RecordCapacityRejection(const Request& r) {
   TimePoint now = clock_.Now();
-  NoPlaceCounts n =
-      CountNoPlace(pool_.boards(), AskFor(r), now, options_.placement);
+  NoPlaceCounts n = CountNoPlace(pool_.boards(), PlacementInputFor(r), now,
+                                 options_.placement);
   if (n.unusable == n.upstreams) return;
-  GuardFor(r.service->name).NoteTurnedAway(r.tier, now);
+  TierGuardFor(r.service->name).NoteTurnedAway(r.tier, now);
 }
 
-// The request's one final answer when it gets none from an upstream.
-void Gateway::Fail(Request& r, ErrorKind kind, absl::string_view why) {
+// Sends the final answer of a request that gets none from an upstream.
+void Gateway::FailRequest(Request& r, ErrorKind kind, absl::string_view why) {
   const Answer& a = AnswerFor(kind);
   if (r.stream_started) {
-    // A cut stream must not look complete.
+    // An interrupted stream must not look complete.
     r.exchange->Abort();
-    Finish(r, "cut", why);
+    FinishRequest(r, "cut", why);
     return;
   }
-  if (r.sends == 0 && r.service && NoPlace(kind)) NoteTurnedAway(r);
+  if (r.sends == 0 && r.service && IsCapacityRejection(kind))
+    RecordCapacityRejection(r);
   metrics_.CountRefusal(a.code);
-  Refusal refusal = dialect_.write_refusal(kind, why, RetryAfter(r, kind));
+  Refusal refusal =
+      dialect_.write_refusal(kind, why, ComputeRetryAfter(r, kind));
   r.exchange->Respond(a.http_status, refusal.headers, refusal.body);
-  Finish(r, a.code, why);
+  FinishRequest(r, a.code, why);
 }
 
 }  // namespace medlarwalk
--- a/src/gateway_limits.cc
+++ b/src/gateway_limits.cc
@@ -1,5 +1,5 @@
-// The gateway's part that keeps to the limits upstreams name: what is heard of
-// them from answers and from others, and which sendings are this process's.
+// Gateway: rate limits announced by upstreams. Records limits from answers and
+// from control, and decides which send slots belong to this process.
 #include <algorithm>
 
 #include "gateway.h"
@@ -9,27 +9,28 @@
 namespace medlarwalk {
 namespace {
 
-// Fewer processes than before are believed after this: while control processes
-// change, some of their followers are not counted for a moment.
-constexpr auto kFewerTrust = std::chrono::seconds(5);
+// Delay before a lower number of entry processes is adopted. While control
+// processes change, some of their followers are not counted for a moment.
+constexpr auto kFewerEntriesDelay = std::chrono::seconds(5);
 
 }  // namespace
 
-void Gateway::SetServing(int serving, int place) {
-  serving_ = std::max(1, serving);
+void Gateway::SetServing(int entry_count, int index) {
+  entry_count_ = std::max(1, entry_count);
   TimePoint now = clock_.Now();
-  bool fewer = serving_ < turn_place_.serving;
-  if (!fewer || now - turn_place_at_ > kFewerTrust) {
-    turn_place_.serving = serving_;
-    turn_place_at_ = now;
+  bool fewer = entry_count_ < send_slot_share_.serving;
+  if (!fewer || now - send_slot_share_set_at_ > kFewerEntriesDelay) {
+    send_slot_share_.serving = entry_count_;
+    send_slot_share_set_at_ = now;
   }
-  if (place >= 0) turn_place_.place = place;
+  if (index >= 0) send_slot_share_.place = index;
 }
 
-// Only what bears the upstream's signature ends a limit: an answer that was
-// spoiled on its way may lack more than that.
-void Gateway::NoteLimit(const Request& r, const UpstreamBoard& u,
-                        const AnswerFacts& f) {
+// Records the rate limit that an answer announces, or the end of the limit if
+// the answer announces none. Only an answer with the upstream's signature ends
+// a limit: an answer damaged on its way may lack the limit header too.
+void Gateway::RecordAnnouncedLimit(const Request& r, const UpstreamBoard& u,
+                                   const AnswerFacts& f) {
   if (f.other_upstream || (!f.limit_per_s && !f.signed_whole)) return;
   if (f.limit_per_s) metrics_.CountLimitTold();
   std::optional<double> before = u.limit_per_s;
@@ -39,32 +40,33 @@
                               {"per_s", f.limit_per_s.value_or(-1)},
                               {"before", before.value_or(-1)},
                               {"own", u.in_flight}});
-  ApplyLimits();
+  ApplyLimitsToBoards();
 }
 
-void Gateway::NoteRest(const Request& r, UpstreamBoard& u, Duration rest) {
-  if (rest == Duration::zero()) return;
+void Gateway::RecordBackoff(const Request& r, UpstreamBoard& u,
+                            Duration backoff) {
+  if (backoff == Duration::zero()) return;
   TimePoint now = clock_.Now();
   metrics_.CountRest();
   LogEvent("upstream_rest",
            {{"upstream", u.info.id},
             {"request", r.facts.id},
-            {"rest_ms", ToMs(rest)},
+            {"rest_ms", ToMs(backoff)},
             {"left_ms", u.rest_until > now ? ToMs(u.rest_until - now) : 0},
             {"load", u.reported},
             {"own", u.in_flight}});
-  u.rest_until = std::max(u.rest_until, now + rest);
+  u.rest_until = std::max(u.rest_until, now + backoff);
 }
 
-void Gateway::TakeLimits(absl::Span<const LimitRecord> told) {
+void Gateway::MergeLimits(absl::Span<const LimitRecord> records) {
   uint64_t before = limits_.changes();
-  limits_.TakeTold(told);
-  if (limits_.changes() != before) ApplyLimits();
+  limits_.TakeTold(records);
+  if (limits_.changes() != before) ApplyLimitsToBoards();
 }
 
-// Sets on each board what is known of its upstream's limit.
-void Gateway::ApplyLimits() {
-  limits_applied_ = limits_.changes();
+// Copies the known limit of each upstream to its board.
+void Gateway::ApplyLimitsToBoards() {
+  limit_changes_applied_ = limits_.changes();
   for (UpstreamBoard& u : pool_.boards()) {
     const LimitRecord* l = limits_.Find(u.info.id);
     std::optional<double> per_s;
@@ -75,37 +77,38 @@
              {{"upstream", u.info.id},
               {"per_s", per_s.value_or(-1)},
               {"heard_ms", l ? ToMs(clock_.Now() - l->at) : -1},
-              {"serving", turn_place_.serving},
-              {"place", turn_place_.place}});
+              {"serving", send_slot_share_.serving},
+              {"place", send_slot_share_.place}});
     u.limit_per_s = per_s;
     if (!per_s) u.no_turn = false;
   }
   metrics_.SetLimited(limits_.in_force());
 }
 
-void Gateway::KeepLimits(TimePoint now) {
+void Gateway::ExpireLimits(TimePoint now) {
   limits_.Keep(
       [this](const std::string& id) { return pool_.Find(id) != nullptr; }, now);
-  if (limits_.changes() != limits_applied_) ApplyLimits();
+  if (limits_.changes() != limit_changes_applied_) ApplyLimitsToBoards();
 }
 
-TurnAsk Gateway::TurnAskFor(const UpstreamBoard& u, TimePoint now) const {
+TurnAsk Gateway::SendSlotQueryFor(const UpstreamBoard& u, TimePoint now) const {
   Millis time =
-      options_.shared_time
-          ? options_.shared_time(now)
+      options_.group_time
+          ? options_.group_time(now)
           : std::chrono::duration_cast<Millis>(now.time_since_epoch());
-  return {u.info.id, *u.limit_per_s, turn_place_, time};
+  return {u.info.id, *u.limit_per_s, send_slot_share_, time};
 }
 
-// Precondition of both: `u` names a limit.
-bool Gateway::HasTurn(const UpstreamBoard& u, TimePoint now) const {
+// Returns whether this process may send to `u` now under its rate limit.
+// Precondition: `u` has announced a limit.
+bool Gateway::HasSendSlot(const UpstreamBoard& u, TimePoint now) const {
   return TurnsHaveBegun(u.limit_since, now) &&
-         OpenTurn(TurnAskFor(u, now), u.turn_taken).has_value();
+         OpenTurn(SendSlotQueryFor(u, now), u.turn_taken).has_value();
 }
 
-void Gateway::TakeTurn(UpstreamBoard& u, TimePoint now) {
-  std::optional<Millis> turn = OpenTurn(TurnAskFor(u, now), u.turn_taken);
-  if (turn) u.turn_taken = turn;
+void Gateway::UseSendSlot(UpstreamBoard& u, TimePoint now) {
+  std::optional<Millis> slot = OpenTurn(SendSlotQueryFor(u, now), u.turn_taken);
+  if (slot) u.turn_taken = slot;
 }
 
 }  // namespace medlarwalk
--- a/src/gateway_request.h
+++ b/src/gateway_request.h
@@ -1,4 +1,4 @@
-// One request under way at a gateway. Internal to the gateway's sources.
+// State of one request in a gateway. Internal to the gateway's sources.
 #ifndef MEDLARWALK_GATEWAY_REQUEST_H_
 #define MEDLARWALK_GATEWAY_REQUEST_H_
 
@@ -13,11 +13,12 @@
 
 namespace medlarwalk {
 
-// Connections tried for one request beside the sendings that count, and how
-// long each may take. A host that is there answers within a round trip; one
-// without power never does, and a request must not spend its latency target on
-// it. The last ones outlast a lost first packet, which the kernel sends again
-// after a second: then it is the network that is slow.
+// Connect timeouts of one request, one per connection attempt; failed
+// connection attempts do not count as attempts of the request. A running host
+// answers within a round trip; a host without power never does, and a request
+// must not spend its latency target on that host. The last timeouts add up to
+// more than a second, after which the kernel retransmits a lost first packet;
+// in that case the network is slow.
 inline constexpr std::array<Millis, 4> kConnectTimeouts = {
     Millis(250), Millis(250), Millis(600), Millis(1200)};
 
@@ -30,48 +31,51 @@
   const RouteRule* route = nullptr;
   const ServiceRule* service = nullptr;
   std::string account;
-  RequestPrint asks = 0;
+  RequestPrint fingerprint = 0;
   Tier tier = 0;
-  Tier rank = 0;  // The tier, and within it the account's.
+  Tier rank = 0;  // Priority by tier, then by the account's tier.
   uint64_t affinity = 0;
   int64_t shared_tokens = 0;
   WorkShape shape = WorkShape::kPlain;
-  int decode_engines = 0;  // As last placed.
-  TimePoint give_up_at{};
-  std::multimap<TimePoint, uint64_t>::iterator give_up_entry;
+  // Number of engines kept for long generations at the last placement.
+  int decode_engines = 0;
+  TimePoint deadline{};
+  std::multimap<TimePoint, uint64_t>::iterator deadline_entry;
   bool waiting = false;
-  TimePoint starves_at{};       // While waiting.
-  bool maybe_run = false;       // Some upstream may have run it.
-  bool run_noted = false;       // It was counted as one that began to run.
-  int sends = 0;                // Upstreams it was sent to.
-  size_t connect_failures = 0;  // Connections not established.
-  std::vector<std::string> tried;
-  // The attempt under way.
+  TimePoint starving_from{};    // Valid while `waiting`.
+  bool may_have_run = false;    // Some upstream may have run the request.
+  bool run_counted = false;     // on_request_run was called for this request.
+  int sends = 0;                // Times it was sent to an upstream.
+  size_t connect_failures = 0;  // Connection attempts that failed.
+  std::vector<std::string> tried;  // Ids of the upstreams tried.
+  // The current attempt.
   int attempt = 0;
-  std::string upstream;  // Empty when none.
+  std::string upstream;  // Empty if there is no attempt.
   std::shared_ptr<UpstreamLink> connection;
   TimePoint sent_at{};
   TimePoint progress_at{};
-  TimePoint head_at{};  // Of the answer.
+  TimePoint head_at{};  // When the answer's head arrived.
   MessageHead answer;
   AnswerFacts answer_facts;
-  std::string held;  // An answer's body until it is whole.
+  std::string held_body;  // Buffered body of an answer that is not relayed.
   bool have_head = false;
-  bool reading = false;  // Counted as a prompt being read at `upstream`.
-  // Streams.
-  bool relaying = false;        // This attempt's events go to the caller.
-  bool stream_started = false;  // The caller has the head.
+  bool prefill_pending = false;  // Counted as a pending prefill at `upstream`.
+  // State of a streamed answer.
+  bool relaying = false;  // Events of this attempt are relayed to the caller.
+  bool stream_started = false;  // The caller has the answer's head.
   EventSplitter splitter;
   std::optional<int64_t> last_event;
-  std::string end_known_by;  // Of a whole answer; for the log.
+  // How the end of a complete answer was detected; for the log.
+  std::string end_detected_by;
   int events = 0;
   TimePoint first_event_at{};
   TimePoint last_event_at{};
-  // Of this attempt, for the pace of its upstream.
-  TimePoint pace_from{};
-  int pace_events = 0;  // Since then.
-  Duration longest_pause{};
-  std::string longest_pause_at;  // The upstream it came from.
+  // Window of events from which the upstream's decode pace is measured.
+  TimePoint pace_window_start{};
+  int pace_window_events = 0;  // Events since pace_window_start.
+  // Longest gap between events, and the upstream whose event ended it.
+  Duration longest_gap{};
+  std::string longest_gap_upstream;
 
   RequestKind kind() const { return facts.kind.value_or(route->kind); }
   bool stream() const { return kind() == RequestKind::kStream; }
--- a/src/gateway_timers.cc
+++ b/src/gateway_timers.cc
@@ -1,5 +1,5 @@
-// The gateway's part that is driven by time: waiting requests, time-outs,
-// upstreams that have fallen silent, the end of a planned stop.
+// Gateway: work driven by time. Dispatches waiting requests, enforces timeouts,
+// detects silent upstreams and ends planned stops.
 #include <algorithm>
 #include <set>
 #include <tuple>
@@ -12,84 +12,87 @@
 namespace medlarwalk {
 namespace {
 
-// A stream without a sign of life for this many pause targets, or this many
-// first-event targets, goes on elsewhere if it may.
-constexpr int kStallPauses = 6;
-constexpr int kStallTargets = 2;
-constexpr auto kLeastStall = Millis(1000);
-// A plain request that may be repeated is sent elsewhere after this many
+// A stream without progress is retried at another upstream, if allowed, after
+// this many inter-token targets, or before its first event after this many
+// latency targets.
+constexpr int kStallInterTokenTargets = 6;
+constexpr int kStallFirstEventTargets = 2;
+constexpr auto kMinStreamStall = Millis(1000);
+// A repeatable plain request is retried at another upstream after this many
 // latency targets without an answer.
-constexpr int kPlainStallTargets = 3;
-constexpr auto kLeastPlainStall = Millis(300);
-// Demand by shape is averaged over this, so that a few requests more or less
-// do not move an engine from one shape of work to the other.
+constexpr int kPlainStallLatencyTargets = 3;
+constexpr auto kMinPlainStall = Millis(300);
+// Smoothing time of the demand for long generations. Without smoothing, a few
+// requests more or less would move an engine from one work shape to the other.
 constexpr std::chrono::duration<double> kDemandSmoothing =
     std::chrono::seconds(3);
 
 }  // namespace
 
-// Gives requests that wait the places that have come free.
-void Gateway::ServeWaiting() {
-  if (serving_waiting_) return;
-  serving_waiting_ = true;
-  for (const std::string& service : waiting_.Services()) {
-    // Those whose own place is not free do not hold up the ones behind them.
+// Sends waiting requests to upstreams with free slots, in serving order.
+void Gateway::DispatchWaiting() {
+  if (dispatching_waiting_) return;
+  dispatching_waiting_ = true;
+  for (const std::string& service : wait_queue_.Services()) {
+    // A request that cannot be placed does not block the requests behind it in
+    // the queue.
     TimePoint now = clock_.Now();
-    // Requests that found no place this time, by all that decides it: others
-    // like them will find none either, and are not looked at.
-    std::set<std::tuple<Tier, bool, WorkShape, uint64_t>> full;
-    for (uint64_t seq : waiting_.InOrder(service, now)) {
+    // Keys of requests that could not be placed in this pass. A key holds all
+    // properties that decide placement, so a request with the same key is
+    // skipped.
+    std::set<std::tuple<Tier, bool, WorkShape, uint64_t>> unplaceable;
+    for (uint64_t seq : wait_queue_.InOrder(service, now)) {
       Request& r = *requests_.at(seq);
-      auto likeness =
-          std::make_tuple(r.rank, now >= r.starves_at, r.shape, r.affinity);
-      bool alike = r.tried.empty() && r.facts.pinned == 0;
-      if (alike && full.count(likeness)) continue;
+      auto placement_key =
+          std::make_tuple(r.rank, now >= r.starving_from, r.shape, r.affinity);
+      bool interchangeable = r.tried.empty() && r.facts.pinned == 0;
+      if (interchangeable && unplaceable.count(placement_key)) continue;
       if (!TrySend(r)) {
-        if (alike) full.insert(likeness);
+        if (interchangeable) unplaceable.insert(placement_key);
         continue;
       }
       r.waiting = false;
-      waiting_.Served(seq, now);
-      waiting_.NotePlace(service, now);
+      wait_queue_.Served(seq, now);
+      wait_queue_.NotePlace(service, now);
     }
   }
-  serving_waiting_ = false;
+  dispatching_waiting_ = false;
 }
 
-// Moves a request on whose upstream has fallen silent, where that is allowed.
-void Gateway::CheckStall(Request& r, TimePoint now) {
+// Retries a request whose upstream has fallen silent, where that is allowed.
+void Gateway::RetryIfStalled(Request& r, TimePoint now) {
   if (r.upstream.empty() || !r.repeatable()) return;
   if (r.sends >= r.route->max_attempts) return;
   Duration limit;
   if (!r.stream()) {
-    limit = std::max<Duration>(kLeastPlainStall,
-                               r.route->latency_target * kPlainStallTargets);
+    limit = std::max<Duration>(
+        kMinPlainStall, r.route->latency_target * kPlainStallLatencyTargets);
   } else {
-    limit = std::max<Duration>(kLeastStall,
-                               r.stream_started
-                                   ? r.route->pause_target * kStallPauses
-                                   : r.route->latency_target * kStallTargets);
+    limit = std::max<Duration>(
+        kMinStreamStall,
+        r.stream_started ? r.route->pause_target * kStallInterTokenTargets
+                         : r.route->latency_target * kStallFirstEventTargets);
   }
   if (now - r.progress_at < limit) return;
   const UpstreamBoard* u = pool_.Find(r.upstream);
-  // An upstream that still sends to others is busy, not silent.
-  if (r.stream() && u && now - u->quiet_since < kLeastStall) return;
-  AttemptFailed(r, CallEnd::kNoAnswer, "silent");
+  // An upstream that still sends data to other requests is busy, not silent.
+  if (r.stream() && u && now - u->quiet_since < kMinStreamStall) return;
+  HandleFailedAttempt(r, CallEnd::kNoAnswer, "silent");
 }
 
-void Gateway::LogNoPlace(const Request& r, TimePoint now) {
-  NoPlaceCounts n =
-      CountNoPlace(pool_.boards(), AskFor(r), now, options_.placement);
-  Tier turned_away = -1;
-  GuardFor(r.service->name).TurningAway(now, &turned_away);
-  const ReadingGate& gate = GateFor(r.service->name);
+void Gateway::LogPlacementFailure(const Request& r, TimePoint now) {
+  NoPlaceCounts n = CountNoPlace(pool_.boards(), PlacementInputFor(r), now,
+                                 options_.placement);
+  Tier rejected_tier = -1;
+  TierGuardFor(r.service->name).TurningAway(now, &rejected_tier);
+  const ReadingGate& limiter = PrefillLimiterFor(r.service->name);
   LogEvent("no_place", {{"request", r.facts.id},
                         {"tier", r.tier},
                         {"rank", r.rank},
                         {"sends", r.sends},
-                        {"tier_turned_away", turned_away},
-                        {"reading", gate.under_way()},
-                        {"reading_limit", static_cast<int>(gate.limit())},
+                        {"tier_turned_away", rejected_tier},
+                        {"reading", limiter.under_way()},
+                        {"reading_limit", static_cast<int>(limiter.limit())},
                         {"upstreams", n.upstreams},
                         {"unusable", n.unusable},
                         {"full", n.full},
@@ -100,30 +103,31 @@
                         {"free", n.free}});
 }
 
-void Gateway::NoteDemand(TimePoint now) {
-  double share = std::min(
-      1.0, std::chrono::duration<double>(now - ticked_at_) / kDemandSmoothing);
-  ticked_at_ = now;
-  for (const auto& [service, kept] : decode_engines_) {
-    DecodeDemand& demand = demand_[service];
-    double n =
-        DecodeLoad(pool_.boards(), service, kept, now, options_.placement);
+void Gateway::UpdateDecodeDemand(TimePoint now) {
+  double share =
+      std::min(1.0, std::chrono::duration<double>(now - demand_updated_at_) /
+                        kDemandSmoothing);
+  demand_updated_at_ = now;
+  for (const auto& [service, engine_count] : decode_engines_) {
+    DecodeDemand& demand = decode_demand_[service];
+    double n = DecodeLoad(pool_.boards(), service, engine_count, now,
+                          options_.placement);
     demand.in_flight += (n - demand.in_flight) * share;
-    double waits = waiting_.size(service) > 0 ? 1 : 0;
+    double waits = wait_queue_.size(service) > 0 ? 1 : 0;
     demand.pressure += (waits - demand.pressure) * share;
   }
 }
 
-// Tells the metrics of labels whose number of waiting requests has changed.
-void Gateway::CountWaiting() {
+// Updates the metrics of labels whose number of waiting requests has changed.
+void Gateway::UpdateWaitingMetrics() {
   std::map<std::string, int> waiting;
-  for (const auto& [label, n] : waiting_told_) waiting[label] = 0;
+  for (const auto& [label, n] : reported_waiting_) waiting[label] = 0;
   for (const auto& [seq, r] : requests_) {
-    if (r->waiting) ++waiting[LabelOf(*r)];
+    if (r->waiting) ++waiting[MetricLabel(*r)];
   }
   for (const auto& [label, n] : waiting) {
-    auto [it, fresh] = waiting_told_.try_emplace(label, 0);
-    if (!fresh && it->second == n) continue;
+    auto [it, inserted] = reported_waiting_.try_emplace(label, 0);
+    if (!inserted && it->second == n) continue;
     it->second = n;
     metrics_.SetQueued(label, n);
   }
@@ -131,14 +135,14 @@
 
 void Gateway::Tick() {
   TimePoint now = clock_.Now();
-  NoteDemand(now);
-  parts_.Tick(now);
-  crashes_.Tick(now);
+  UpdateDecodeDemand(now);
+  prefix_holders_.Tick(now);
+  crash_watch_.Tick(now);
   quarantine_.Tick(now);
-  EndQuarantined();
-  KeepLimits(now);
+  FailQuarantinedRequests();
+  ExpireLimits(now);
   std::vector<uint64_t> due;
-  for (auto it = give_up_.begin(); it != give_up_.end() && it->first <= now;
+  for (auto it = deadlines_.begin(); it != deadlines_.end() && it->first <= now;
        ++it) {
     due.push_back(it->second);
   }
@@ -147,38 +151,39 @@
     if (it == requests_.end()) continue;
     Request& r = *it->second;
     bool sent = !r.upstream.empty() && r.connection->sent();
-    Fail(r,
-         sent || r.maybe_run ? ErrorKind::kTimedOut : ErrorKind::kNotRunInTime,
-         "time over");
+    FailRequest(r,
+                sent || r.may_have_run ? ErrorKind::kTimedOut
+                                       : ErrorKind::kNotRunInTime,
+                "time over");
   }
-  for (uint64_t seq : waiting_.Expired(now)) {
+  for (uint64_t seq : wait_queue_.Expired(now)) {
     auto it = requests_.find(seq);
     if (it == requests_.end()) continue;
     Request& r = *it->second;
-    LogNoPlace(r, now);
-    Fail(
-        r,
-        r.maybe_run ? ErrorKind::kOutcomeUnknown : ErrorKind::kTargetUnmeetable,
-        "no place in time");
+    LogPlacementFailure(r, now);
+    FailRequest(r,
+                r.may_have_run ? ErrorKind::kOutcomeUnknown
+                               : ErrorKind::kTargetUnmeetable,
+                "no place in time");
   }
   std::vector<uint64_t> open;
   for (auto& [seq, r] : requests_) open.push_back(seq);
   for (uint64_t seq : open) {
     auto it = requests_.find(seq);
-    if (it != requests_.end()) CheckStall(*it->second, now);
+    if (it != requests_.end()) RetryIfStalled(*it->second, now);
   }
   pool_.Tick();
-  if (std::exchange(paces_changed_, false)) {
+  if (std::exchange(decode_paces_changed_, false)) {
     MarkSlow(absl::MakeSpan(pool_.boards()), options_.placement);
   }
   if (options_.placement.straggler_factor > 0) {
     MarkStragglers(absl::MakeSpan(pool_.boards()), options_.placement);
   }
-  ServeWaiting();
-  CountWaiting();
+  DispatchWaiting();
+  UpdateWaitingMetrics();
 }
 
-void Gateway::EndAll() {
+void Gateway::FailOpenRequests() {
   std::vector<uint64_t> open;
   for (auto& [seq, r] : requests_) open.push_back(seq);
   for (uint64_t seq : open) {
@@ -186,10 +191,10 @@
     if (it == requests_.end()) continue;
     Request& r = *it->second;
     bool sent = !r.upstream.empty() && r.connection->sent();
-    Fail(
-        r,
-        sent || r.maybe_run ? ErrorKind::kOutcomeUnknown : ErrorKind::kDraining,
-        "stopping");
+    FailRequest(r,
+                sent || r.may_have_run ? ErrorKind::kOutcomeUnknown
+                                       : ErrorKind::kDraining,
+                "stopping");
   }
 }
 
--- a/src/loop_order.h
+++ b/src/loop_order.h
@@ -1,10 +1,12 @@
-// The order in which a turn of the loop serves what is ready. Watchers of one
-// priority have none that can be relied on: libev calls timers before sockets.
+// Priorities that define the order of callbacks within one loop iteration.
+// Among watchers of equal priority no useful order is guaranteed: libev calls
+// timers before sockets.
 //
-// First what comes from our own processes, which says what to do with all the
-// rest; then callers and upstreams; then time limits, so that what has arrived
-// is read before it is judged whether it came in time. A process that was late
-// itself would else take all others for silent, and give up every link it has.
+// Messages from medlarwalk processes come first, because they decide how to
+// handle everything else. Callers and upstreams come second. Timers come last,
+// so that data that has arrived is read before its timeout is checked.
+// Otherwise a process whose own loop was delayed would consider all its peers
+// silent and close every link.
 #ifndef MEDLARWALK_LOOP_ORDER_H_
 #define MEDLARWALK_LOOP_ORDER_H_
 
@@ -15,7 +17,7 @@
 inline constexpr int kLinkPriority = 1;
 inline constexpr int kTimerPriority = -1;
 
-// As ev_timer_init, in the order above.
+// Calls ev_timer_init and gives the timer the priority of timers.
 template <typename Callback>
 void InitTimer(ev_timer* timer, Callback callback, double after,
                double repeat) {
--- a/src/loop_watch.cc
+++ b/src/loop_watch.cc
@@ -8,16 +8,17 @@
 namespace medlarwalk {
 namespace {
 
-// Longer turns are told in the log, one a second at most.
-constexpr auto kSlowTurn = Millis(250);
-constexpr auto kTellInterval = std::chrono::seconds(1);
+// Iterations that take at least this long are logged, at most one per second.
+constexpr auto kSlowIteration = Millis(250);
+constexpr auto kLogInterval = std::chrono::seconds(1);
 
 }  // namespace
 
 LoopWatch::LoopWatch(struct ev_loop* loop, const Clock& clock,
-                     std::function<void(Duration)> on_turn)
-    : loop_(loop), clock_(clock), on_turn_(std::move(on_turn)) {
-  // First after the wait, last before the next.
+                     std::function<void(Duration)> on_iteration)
+    : loop_(loop), clock_(clock), on_iteration_(std::move(on_iteration)) {
+  // The check watcher runs first after the loop's wait; the prepare watcher
+  // runs last before the next wait.
   ev_check_init(&check_, OnCheck);
   ev_set_priority(&check_, EV_MAXPRI);
   check_.data = this;
@@ -26,7 +27,7 @@
   ev_set_priority(&prepare_, EV_MINPRI);
   prepare_.data = this;
   ev_prepare_start(loop_, &prepare_);
-  // Neither keeps the loop running.
+  // The two watchers must not keep the loop running.
   ev_unref(loop_);
   ev_unref(loop_);
 }
@@ -40,35 +41,37 @@
 
 void LoopWatch::OnCheck(struct ev_loop*, ev_check* w, int) {
   auto* self = static_cast<LoopWatch*>(w->data);
-  self->began_ = self->clock_.Now();
-  self->in_turn_ = true;
+  self->iteration_started_ = self->clock_.Now();
+  self->in_iteration_ = true;
 }
 
 void LoopWatch::OnPrepare(struct ev_loop*, ev_prepare* w, int) {
-  static_cast<LoopWatch*>(w->data)->TurnEnded();
+  static_cast<LoopWatch*>(w->data)->OnIterationEnd();
 }
 
-void LoopWatch::TurnEnded() {
-  if (!in_turn_) return;
-  in_turn_ = false;
+void LoopWatch::OnIterationEnd() {
+  if (!in_iteration_) return;
+  in_iteration_ = false;
   TimePoint now = clock_.Now();
-  Duration took = now - began_;
-  if (now - second_began_ > std::chrono::seconds(1)) {
-    bool next = now - second_began_ < std::chrono::seconds(2);
-    last_second_ = next ? this_second_ : Duration::zero();
-    this_second_ = Duration::zero();
-    second_began_ = now;
+  Duration elapsed = now - iteration_started_;
+  if (now - second_started_ > std::chrono::seconds(1)) {
+    bool consecutive = now - second_started_ < std::chrono::seconds(2);
+    longest_last_second_ =
+        consecutive ? longest_this_second_ : Duration::zero();
+    longest_this_second_ = Duration::zero();
+    second_started_ = now;
   }
-  this_second_ = std::max(this_second_, took);
-  if (on_turn_) on_turn_(took);
-  if (took < kSlowTurn || now - told_at_ < kTellInterval) return;
-  told_at_ = now;
-  LogEvent("slow_turn", {{"ms", ToMs(took)}});
+  longest_this_second_ = std::max(longest_this_second_, elapsed);
+  if (on_iteration_) on_iteration_(elapsed);
+  if (elapsed < kSlowIteration || now - logged_at_ < kLogInterval) return;
+  logged_at_ = now;
+  LogEvent("slow_turn", {{"ms", ToMs(elapsed)}});
 }
 
 Duration LoopWatch::longest() const {
-  Duration under_way = in_turn_ ? clock_.Now() - began_ : Duration::zero();
-  return std::max({under_way, this_second_, last_second_});
+  Duration current =
+      in_iteration_ ? clock_.Now() - iteration_started_ : Duration::zero();
+  return std::max({current, longest_this_second_, longest_last_second_});
 }
 
 }  // namespace medlarwalk
--- a/src/loop_watch.h
+++ b/src/loop_watch.h
@@ -1,6 +1,6 @@
-// How long the turns of a process's loop take. A turn that takes long delays
-// all that waits for the next one: what others have sent, and the time limits
-// by which this process judges them.
+// Measures the duration of event loop iterations. A long iteration delays all
+// events of the next one: messages that have arrived and the timeouts that
+// apply to them.
 #ifndef MEDLARWALK_LOOP_WATCH_H_
 #define MEDLARWALK_LOOP_WATCH_H_
 
@@ -12,40 +12,41 @@
 
 namespace medlarwalk {
 
-// Thread safety: loop thread only.
+// Measures the iterations of one event loop. Thread safety: loop thread only.
 class LoopWatch {
  public:
-  // `on_turn` is called after each turn with its length; may be empty.
-  // Precondition: `loop` and `clock` outlive this.
+  // `on_iteration` is called after each iteration with its duration; may be
+  // empty. Precondition: `loop` and `clock` outlive this.
   LoopWatch(struct ev_loop* loop, const Clock& clock,
-            std::function<void(Duration)> on_turn);
+            std::function<void(Duration)> on_iteration);
   ~LoopWatch();
   LoopWatch(const LoopWatch&) = delete;
   LoopWatch& operator=(const LoopWatch&) = delete;
 
-  // When this turn began, after the loop had waited.
-  TimePoint turn_began() const { return began_; }
-  // The longest turn of late: of this second and the one before, the turn under
-  // way among them.
+  // Returns when the current iteration began, after the loop's wait.
+  TimePoint iteration_started() const { return iteration_started_; }
+  // Returns the longest iteration of this second and the previous one,
+  // including the current iteration.
   Duration longest() const;
 
  private:
   static void OnCheck(struct ev_loop* loop, ev_check* w, int revents);
   static void OnPrepare(struct ev_loop* loop, ev_prepare* w, int revents);
-  void TurnEnded();
+  void OnIterationEnd();
 
   struct ev_loop* loop_;
   const Clock& clock_;
-  std::function<void(Duration)> on_turn_;
+  std::function<void(Duration)> on_iteration_;
   ev_check check_{};
   ev_prepare prepare_{};
-  TimePoint began_{};
-  bool in_turn_ = false;
-  // The longest turn of the current second, and of the one before.
-  TimePoint second_began_{};
-  Duration this_second_{};
-  Duration last_second_{};
-  TimePoint told_at_{};
+  TimePoint iteration_started_{};
+  bool in_iteration_ = false;
+  // Start of the current second, and the longest iterations of it and of the
+  // second before.
+  TimePoint second_started_{};
+  Duration longest_this_second_{};
+  Duration longest_last_second_{};
+  TimePoint logged_at_{};
 };
 
 }  // namespace medlarwalk
--- a/src/serving.cc
+++ b/src/serving.cc
@@ -11,23 +11,27 @@
 namespace medlarwalk {
 namespace {
 
-// In step, a watch is answered within 0.4 s; a change may take effect
-// everywhere within 2 s at the least that operators allow, and nothing it
-// allows may be refused after that.
+// How long a configuration counts as current after control confirmed it. An
+// up-to-date control process answers a watch within 0.4 s. The shortest time
+// that operators can set for a configuration change to take effect everywhere
+// is 2 s; after that, nothing the change allows may be rejected.
 constexpr auto kConfigTrust = Millis(1500);
 constexpr double kTickSeconds = 0.02;
-// The list is read by this process itself when no control process has told
-// one this lately, nor one that is missing two readings: leaving upstreams must
-// still be known in time.
-constexpr Duration kAloneAfter = Millis(2000);
-constexpr int kReadingsMissed = 2;
-constexpr Duration kAloneInterval = Millis(2000);
-// After SIGTERM new connections still come until the balancer has asked twice
-// and taken this host out.
+// This process reads the upstream list itself, no more often than
+// kOwnListInterval, once control's list is older than both kMaxListAge and
+// kMaxListAgeInReads of control's read intervals. Otherwise draining upstreams
+// would be noticed too late.
+constexpr Duration kMaxListAge = Millis(2000);
+constexpr int kMaxListAgeInReads = 2;
+constexpr Duration kOwnListInterval = Millis(2000);
+// Time after SIGTERM in which new connections are accepted. They arrive until
+// two readiness probes have failed and the load balancer has removed this host.
 constexpr auto kAcceptWhileDraining = Millis(2500);
-// Idle connections close from then on; callers open new ones elsewhere.
+// Time after SIGTERM at which idle connections are closed; callers open new
+// ones at other entry processes.
 constexpr auto kCloseIdleAfter = Millis(1500);
-// Left of the grace when what is still open gets its final answer.
+// Time before the end of the grace period at which open requests get their
+// final answer.
 constexpr auto kGraceMargin = Millis(250);
 
 }  // namespace
@@ -38,19 +42,19 @@
       clock_(clock),
       options_(std::move(options)),
       metrics_("entry"),
-      turns_(loop, clock,
-             [this](Duration d) { metrics_.ObserveTurn(ToSeconds(d)); }),
+      loop_watch_(loop, clock,
+                  [this](Duration d) { metrics_.ObserveTurn(ToSeconds(d)); }),
       gateway_(
           loop, clock,
           [&] {
             GatewayOptions o = options_.gateway;
             o.config_trust = kConfigTrust;
-            o.shared_time = [this](TimePoint now) {
-              return Millis(time_.UnixMs(now).value_or(0));
+            o.group_time = [this](TimePoint now) {
+              return Millis(group_time_.UnixMs(now).value_or(0));
             };
             if (options_.usage.window > Duration::zero()) {
-              o.on_run = [this](const std::string& account) {
-                CountRun(account);
+              o.on_request_run = [this](const std::string& account) {
+                CountAccountRun(account);
               };
             }
             return o;
@@ -62,15 +66,17 @@
                }),
       readiness_(loop, clock,
                  [this](std::shared_ptr<CallerExchange> ex) {
-                   bool ours = ex->head.target == options_.readiness_path;
-                   ex->Respond(ours ? (ready() ? 200 : 503) : 404, {}, "");
+                   bool is_readiness_path =
+                       ex->head.target == options_.readiness_path;
+                   ex->Respond(is_readiness_path ? (ready() ? 200 : 503) : 404,
+                               {}, "");
                  }),
       metrics_server_(loop, clock,
                       [this](std::shared_ptr<CallerExchange> ex) {
                         ex->Respond(200, {{"Content-Type", "text/plain"}},
                                     metrics_.Render());
                       }),
-      process_(RandomSeed()),
+      process_id_(RandomSeed()),
       reports_(gateway_.quarantine(), gateway_.limits(), usage_, wall),
       watch_(
           loop, clock,
@@ -80,21 +86,24 @@
             o.data_centre = options_.data_centre;
             o.serves_callers = true;
             o.reports = &reports_;
-            o.longest_turn = [this] { return turns_.longest(); };
+            o.longest_turn = [this] { return loop_watch_.longest(); };
             return o;
           }(),
           options_.control_seeds,
-          [this](const WatchReply& r, bool in_step) { OnWatch(r, in_step); }),
+          [this](const WatchReply& r, bool up_to_date) {
+            OnWatchReply(r, up_to_date);
+          }),
       lister_(loop, clock, options_.list),
-      // Not alone from the start: where all processes start at once, the
-      // control processes have a list within a moment, but not if every entry
-      // asks its source beside them.
-      list_at_(clock.Now()) {
+      // Initialized to now so that this process does not read the list itself
+      // at startup. Where all processes start at once, control has a list
+      // within a moment, unless every entry process queries the list's source
+      // at the same time.
+      list_current_at_(clock.Now()) {
   InitTimer(&tick_, OnTick, kTickSeconds, kTickSeconds);
   tick_.data = this;
   callers_.set_most_connections(CallersFor(options_.descriptors));
-  // Until the group's time is told.
-  time_.NoteSample(options_.name, wall.UnixNow().count(), clock_.Now());
+  // Uses the local wall clock until control publishes the group's time.
+  group_time_.NoteSample(options_.name, wall.UnixNow().count(), clock_.Now());
 }
 
 Serving::~Serving() { ev_timer_stop(loop_, &tick_); }
@@ -121,30 +130,33 @@
   return !draining_ && gateway_.has_config() && list_.version() != 0;
 }
 
-void Serving::OnWatch(const WatchReply& r, bool in_step) {
-  // Of whomever: a crash that was noted stays one.
-  if (r.quarantine) TakeCrashes(*r.quarantine);
-  if (r.limits) TakeLimits(*r.limits);
-  // What a control process out of step holds may be old: it is taken only if
-  // it is newer than what is in force here, and never as the first one.
+void Serving::OnWatchReply(const WatchReply& r, bool up_to_date) {
+  // Crash records and limits are merged from any control process, because a
+  // recorded crash never becomes invalid.
+  if (r.quarantine) MergeCrashRecords(*r.quarantine);
+  if (r.limits) MergeLimitRecords(*r.limits);
+  // A control process that is not up to date may hold an old configuration. Its
+  // configuration is applied only if it is newer than the one in force here,
+  // and never as the first one.
   bool first = watch_.state().config_version == 0;
-  if (r.config && (in_step || !first)) ApplyConfig(r.config_version, *r.config);
-  if (!in_step) return;
+  if (r.config && (up_to_date || !first))
+    ApplyConfig(r.config_version, *r.config);
+  if (!up_to_date) return;
   gateway_.NoteInStep(clock_.Now() - Millis(r.age_ms));
-  if (r.unix_ms > 0) time_.NoteTold(r.unix_ms, clock_.Now());
+  if (r.unix_ms > 0) group_time_.NoteTold(r.unix_ms, clock_.Now());
   usage_.DropThrough(r.usage_fixed);
   if (r.serving > 0) {
-    serving_ = r.serving;
+    entry_count_ = r.serving;
     gateway_.SetServing(r.serving, r.place);
   }
-  if (r.list) TakeList(r);
+  if (r.list) ApplyListUpdate(r);
   if (r.list_age_ms < 0) return;
-  list_at_ = clock_.Now() - Millis(r.list_age_ms);
-  list_interval_ = Millis(r.list_interval_ms);
+  list_current_at_ = clock_.Now() - Millis(r.list_age_ms);
+  control_list_interval_ = Millis(r.list_interval_ms);
   metrics_.ObserveListAge(ToSeconds(Millis(r.list_age_ms)));
 }
 
-void Serving::TakeCrashes(absl::string_view encoded) {
+void Serving::MergeCrashRecords(absl::string_view encoded) {
   absl::StatusOr<std::vector<CrashRecord>> r =
       DecodeCrashRecords(encoded, clock_.Now());
   if (!r.ok()) {
@@ -154,34 +166,35 @@
   gateway_.quarantine().TakeTold(*r);
 }
 
-void Serving::TakeLimits(absl::string_view encoded) {
+void Serving::MergeLimitRecords(absl::string_view encoded) {
   absl::StatusOr<std::vector<LimitRecord>> r =
       DecodeLimitRecords(encoded, clock_.Now());
   if (!r.ok()) {
     LogWarn("bad_limit_records", {{"error", r.status().message()}});
     return;
   }
-  gateway_.TakeLimits(*r);
+  gateway_.MergeLimits(*r);
 }
 
-void Serving::CountRun(const std::string& account) {
-  std::optional<int64_t> unix_ms = time_.UnixMs(clock_.Now());
+void Serving::CountAccountRun(const std::string& account) {
+  std::optional<int64_t> unix_ms = group_time_.UnixMs(clock_.Now());
   if (unix_ms) {
-    usage_.Count(process_, WindowAt(*unix_ms, options_.usage), account);
+    usage_.Count(process_id_, WindowAt(*unix_ms, options_.usage), account);
   }
 }
 
-void Serving::TakeList(const WatchReply& r) {
+void Serving::ApplyListUpdate(const WatchReply& r) {
   absl::StatusOr<ListChange> c = DecodeListChange(*r.list);
   int64_t before = list_.version();
-  bool fits = c.ok() && list_.Apply(*c);
-  metrics_.CountListUpdate(!fits          ? "unfit"
+  bool applied = c.ok() && list_.Apply(*c);
+  metrics_.CountListUpdate(!applied       ? "unfit"
                            : c->from == 0 ? "whole"
                                           : "difference",
                            r.list->size());
-  // What does not fit is asked for as a whole.
-  watch_.state().list_version = fits ? list_.version() : 0;
-  if (!fits) {
+  // Version 0 requests the whole list, after an update that could not be
+  // applied.
+  watch_.state().list_version = applied ? list_.version() : 0;
+  if (!applied) {
     LogWarn("list_unfit", {{"held", before},
                            {"from", c.ok() ? c->from : -1},
                            {"to", c.ok() ? c->to : -1}});
@@ -216,20 +229,20 @@
   watch_.state().config_version = version;
 }
 
-void Serving::ReadListAlone(TimePoint now) {
+void Serving::ReadListWithoutControl(TimePoint now) {
   lister_.Tick();
   if (lister_.busy() || !gateway_.has_config()) return;
-  if (now - list_at_ <
-      std::max(kAloneAfter, kReadingsMissed * list_interval_)) {
+  if (now - list_current_at_ <
+      std::max(kMaxListAge, kMaxListAgeInReads * control_list_interval_)) {
     return;
   }
-  // All entries may be alone at once: each takes its part of what the source
-  // allows.
+  // All entry processes may lose control at once, so each one uses only its
+  // share of the calls that the source allows.
   Duration interval = std::max(
-      kAloneInterval,
-      ListInterval(lister_.length(), options_.list.calls_per_s / serving_));
-  if (now - listed_alone_at_ < interval) return;
-  listed_alone_at_ = now;
+      kOwnListInterval,
+      ListInterval(lister_.length(), options_.list.calls_per_s / entry_count_));
+  if (now - own_list_read_at_ < interval) return;
+  own_list_read_at_ = now;
   lister_.Read([this, now](absl::StatusOr<std::vector<UpstreamInfo>> r) {
     if (!r.ok()) {
       LogWarn("list_lost", {{"error", r.status().message()}});
@@ -238,7 +251,7 @@
     list_.Replace(*std::move(r));
     LogEvent("list_read_alone",
              {{"version", list_.version()}, {"upstreams", list_.size()}});
-    list_at_ = now;
+    list_current_at_ = now;
     watch_.state().list_version = list_.version();
     gateway_.SetUpstreams(list_.All());
   });
@@ -247,21 +260,21 @@
 void Serving::Drain() {
   if (draining_) return;
   draining_ = true;
-  drain_began_ = clock_.Now();
+  drain_started_at_ = clock_.Now();
   callers_.CloseAfterAnswers();
   gateway_.BeginDrain();
   LogEvent("drain_started", {{"open", gateway_.open_requests()},
                              {"connections", callers_.connections()}});
 }
 
-void Serving::DrainStep(TimePoint now) {
-  Duration since = now - drain_began_;
+void Serving::AdvanceDrain(TimePoint now) {
+  Duration since = now - drain_started_at_;
   if (since > kAcceptWhileDraining && !stopped_accepting_) {
     stopped_accepting_ = true;
     callers_.StopAccepting();
   }
   if (since > kCloseIdleAfter) callers_.CloseIdle();
-  if (since > options_.grace - kGraceMargin) gateway_.EndAll();
+  if (since > options_.grace - kGraceMargin) gateway_.FailOpenRequests();
   if (stopped_accepting_ && gateway_.open_requests() == 0 &&
       callers_.busy() == 0) {
     LogEvent("stopped", {});
@@ -277,8 +290,8 @@
   TimePoint now = clock_.Now();
   gateway_.Tick();
   if (reports_.urgent()) watch_.AskAgain();
-  ReadListAlone(now);
-  if (draining_) DrainStep(now);
+  ReadListWithoutControl(now);
+  if (draining_) AdvanceDrain(now);
 }
 
 }  // namespace medlarwalk
--- a/src/serving.h
+++ b/src/serving.h
@@ -1,6 +1,6 @@
-// The serving process on the entry hosts: callers' requests through the
-// gateway, readiness for the balancer, and the newest configuration and
-// upstream list from the control processes.
+// The serving process on entry hosts. It serves callers' requests through the
+// gateway, answers readiness probes of the load balancer, and receives the
+// newest configuration and upstream list from the control processes.
 #ifndef MEDLARWALK_SERVING_H_
 #define MEDLARWALK_SERVING_H_
 
@@ -25,23 +25,23 @@
 struct ServingOptions {
   std::string name;
   std::string data_centre;
-  Endpoint frontend;   // Callers.
-  Endpoint readiness;  // The balancer's questions.
+  Endpoint frontend;   // Address for callers.
+  Endpoint readiness;  // Address for readiness probes of the load balancer.
   std::string readiness_path;
-  Endpoint metrics;  // Prometheus text, at /metrics.
+  Endpoint metrics;  // Address that serves Prometheus text at /metrics.
   std::vector<std::string> control_seeds;
-  Duration grace = std::chrono::seconds(8);  // From SIGTERM to SIGKILL.
-  // That this process may have open at once.
+  Duration grace = std::chrono::seconds(8);  // Time from SIGTERM to SIGKILL.
+  // Number of descriptors that this process may have open at once.
   size_t descriptors = DescriptorLimit();
   GatewayOptions gateway;
   Dialect dialect;
   ListSource list;
-  UsagePolicy usage;  // No window: requests are not counted.
-  // Reads a configuration document. Errors: InvalidArgument.
+  UsagePolicy usage;  // With a zero window, requests are not counted.
+  // Decodes a configuration document. Errors: InvalidArgument.
   std::function<absl::StatusOr<RoutingConfig>(absl::string_view)> decode;
 };
 
-// Thread safety: loop thread only.
+// One entry process. Thread safety: loop thread only.
 class Serving {
  public:
   Serving(struct ev_loop* loop, const Clock& clock, const WallClock& wall,
@@ -50,48 +50,53 @@
   Serving(const Serving&) = delete;
   Serving& operator=(const Serving&) = delete;
 
-  // Errors: Unavailable when an address cannot be bound.
+  // Binds all addresses and starts serving. Errors: Unavailable when an address
+  // cannot be bound.
   absl::Status Start();
   void set_control_seeds(std::vector<std::string> seeds);
-  // Begins a planned stop: not ready at once, requests in progress finish,
-  // then the loop ends, at the latest shortly before the grace is over.
+  // Begins a planned stop. The process stops being ready at once, requests in
+  // progress finish, and then the loop ends, at the latest shortly before the
+  // grace period is over.
   void Drain();
   bool ready() const;
 
  private:
   static void OnTick(struct ev_loop* loop, ev_timer* w, int revents);
   void Tick();
-  void OnWatch(const WatchReply& r, bool in_step);
-  void TakeCrashes(absl::string_view encoded);
-  void TakeLimits(absl::string_view encoded);
-  void CountRun(const std::string& account);
-  void TakeList(const WatchReply& r);
+  void OnWatchReply(const WatchReply& r, bool up_to_date);
+  void MergeCrashRecords(absl::string_view encoded);
+  void MergeLimitRecords(absl::string_view encoded);
+  void CountAccountRun(const std::string& account);
+  void ApplyListUpdate(const WatchReply& r);
   void ApplyConfig(int64_t version, const std::string& document);
-  void ReadListAlone(TimePoint now);
-  void DrainStep(TimePoint now);
+  // Reads the upstream list from its source if control's list is too old.
+  void ReadListWithoutControl(TimePoint now);
+  void AdvanceDrain(TimePoint now);
 
   struct ev_loop* loop_;
   const Clock& clock_;
   ServingOptions options_;
   Metrics metrics_;
-  LoopWatch turns_;
+  LoopWatch loop_watch_;
   Gateway gateway_;
   CallerServer callers_;
   CallerServer readiness_;
   CallerServer metrics_server_;
-  const uint64_t process_;  // Drawn at each start.
-  GroupTime time_;
+  const uint64_t process_id_;  // Random id, drawn at each start.
+  GroupTime group_time_;
   UsageBook usage_;
   WatchReports reports_;
   WatchClient watch_;
   Lister lister_;
   UpstreamList list_;
-  TimePoint list_at_{};
-  Duration list_interval_{};  // As the control processes read it.
-  int serving_ = 1;           // Entry processes, as last told.
-  TimePoint listed_alone_at_{};
+  TimePoint list_current_at_{};
+  // Interval at which control reads the upstream list.
+  Duration control_list_interval_{};
+  // Number of entry processes, as last published by control.
+  int entry_count_ = 1;
+  TimePoint own_list_read_at_{};
   bool draining_ = false;
-  TimePoint drain_began_{};
+  TimePoint drain_started_at_{};
   bool stopped_accepting_ = false;
   ev_timer tick_{};
 };
--- a/src/upstream_link.h
+++ b/src/upstream_link.h
@@ -1,7 +1,7 @@
-// What carries one call at a time to one upstream: a kept HTTP/1.1 connection
-// (http1_client) or a stream to the agent beside it (agent_link). It knows how
-// far a call got, which decides what the caller may be told: never written,
-// perhaps run, answered.
+// Interface of a link that carries one call at a time to one upstream: a
+// reusable HTTP/1.1 connection (http1_client) or a stream to the agent on the
+// upstream's host (agent_link). A link knows how far a call got (never written,
+// possibly run, answered), which decides the answer that the caller may get.
 #ifndef MEDLARWALK_UPSTREAM_LINK_H_
 #define MEDLARWALK_UPSTREAM_LINK_H_
 
@@ -16,12 +16,12 @@
 
 namespace medlarwalk {
 
-// A request as it goes to an upstream.
+// A request in the form sent to an upstream.
 struct OutgoingRequest {
   std::string method;
   std::string target;
   HeaderList headers;
-  absl::string_view body;  // Must live until Start has returned.
+  absl::string_view body;  // Must stay valid until Start has returned.
 };
 
 // How a call ended.
@@ -32,47 +32,51 @@
   kBrokenOff,  // Ended after the answer's head, before its end.
 };
 
-// One call. Callbacks run on the loop thread, at the earliest from inside
-// Start, and may cancel the call.
+// One call. Callbacks run on the loop thread, may run inside Start, and may
+// cancel the call.
 struct UpstreamCall {
   OutgoingRequest request;
-  // The head of an answer. Returns false when it belongs to another request:
-  // that answer is skipped and the next one awaited.
+  // Called with the head of an answer. Returns false if the answer belongs to
+  // another request; the link then skips it and waits for the next answer.
   std::function<bool(const MessageHead&)> on_head;
   std::function<void(absl::string_view)> on_body;
-  // Called once, last. `why` says what happened, for the log; for a whole
-  // answer how its end was known (EndName).
+  // Called once, after all other callbacks. `why` is a reason for the log; for
+  // a complete answer it is how the end was detected (EndName).
   std::function<void(CallEnd end, absl::string_view why)> on_end;
 };
 
-// Held by shared_ptr. Thread safety: loop thread only.
+// Link to one upstream. Owned by shared_ptr. Thread safety: loop thread only.
 class UpstreamLink {
  public:
   virtual ~UpstreamLink() = default;
   // Starts `call`. Precondition: idle().
   virtual void Start(UpstreamCall call) = 0;
-  // Ends the call without its on_end, so that the upstream can drop the work.
+  // Cancels the call without calling on_end, so that the upstream can drop the
+  // work.
   virtual void Cancel() = 0;
   virtual void Close() = 0;
-  // No call is under way.
+  // Returns whether no call is in progress.
   virtual bool idle() const = 0;
-  // Can carry another call.
+  // Returns whether the link can carry another call.
   virtual bool open() const = 0;
-  // The way to the upstream is there, as far as this end knows.
+  // Returns whether the connection is established, as far as this process
+  // knows.
   virtual bool established() const { return open(); }
-  // The upstream's host is there and nobody listens at its address.
+  // Returns whether the upstream's host refused the connection, that is, no
+  // process listens at the address.
   virtual bool refused() const { return false; }
-  // Whether any byte of the current call was handed on.
+  // Returns whether any byte of the current call was written.
   virtual bool sent() const = 0;
-  // Stops or resumes reading the answer (a slow caller).
+  // Pauses or resumes reading the answer, for a slow caller.
   virtual void PauseRead(bool paused) = 0;
-  // Since when it has been idle, and how long it may be kept so.
+  // Returns when the link became idle.
   virtual TimePoint idle_since() const = 0;
+  // Returns how long the link may stay idle.
   virtual Duration keep_for() const = 0;
 };
 
-// Opens a link to an upstream; a new connection that is not established
-// within `connect_timeout` ends its call as not sent.
+// Opens a link to an upstream. If a new connection is not established within
+// `connect_timeout`, its call ends with kNotSent.
 using LinkOpener = std::function<std::shared_ptr<UpstreamLink>(
     const UpstreamInfo& to, Duration connect_timeout)>;
 
--- a/src/upstream_pool.cc
+++ b/src/upstream_pool.cc
@@ -14,20 +14,20 @@
 }  // namespace
 
 UpstreamPool::UpstreamPool(const Clock& clock, LinkOpener open)
-    : clock_(clock), open_(std::move(open)) {}
+    : clock_(clock), open_link_(std::move(open)) {}
 
-void UpstreamPool::StartAnew(UpstreamBoard& b, const UpstreamInfo& fresh) {
+void UpstreamPool::ResetBoard(UpstreamBoard& b, const UpstreamInfo& fresh) {
   LogEvent("upstream_restarted", {{"upstream", fresh.id},
                                   {"address", fresh.address.ToString()},
                                   {"born", fresh.born},
                                   {"born_before", b.info.born},
                                   {"in_flight", b.in_flight}});
-  UpstreamBoard anew;
-  anew.info = fresh;
-  anew.in_flight = b.in_flight;
-  anew.reading = b.reading;
-  anew.quiet_since = b.quiet_since;
-  b = std::move(anew);
+  UpstreamBoard reset;
+  reset.info = fresh;
+  reset.in_flight = b.in_flight;
+  reset.reading = b.reading;
+  reset.quiet_since = b.quiet_since;
+  b = std::move(reset);
   Connections& c = connections_[fresh.id];
   for (const auto& k : c.idle) k->Close();
   c.idle.clear();
@@ -51,10 +51,10 @@
     }
     UpstreamBoard& b = boards_[it->second];
     b.listed = true;
-    // An older reading: the list lags, and more than one process reads it.
+    // Ignores an outdated entry: the list lags, and several processes read it.
     if (u.born && u.born < b.info.born) continue;
     if (StartedAgain(b.info, u)) {
-      StartAnew(b, u);
+      ResetBoard(b, u);
       restarted.push_back(u.id);
       continue;
     }
@@ -75,7 +75,7 @@
   return it == index_.end() ? nullptr : &boards_[it->second];
 }
 
-bool UpstreamPool::NoteLeaving(const std::string& id) {
+bool UpstreamPool::RecordDraining(const std::string& id) {
   UpstreamBoard* b = Find(id);
   if (!b || b->said_leaving) return false;
   b->said_leaving = true;
@@ -84,49 +84,50 @@
   return true;
 }
 
-bool UpstreamPool::Full(const UpstreamBoard& u, int limit) const {
+bool UpstreamPool::AtConnectionLimit(const UpstreamBoard& u, int limit) const {
   auto it = connections_.find(u.info.id);
   if (it == connections_.end()) return limit <= 0;
   const Connections& c = it->second;
-  if (c.taken < limit) return false;
+  if (c.in_use < limit) return false;
   TimePoint now = clock_.Now();
   return std::none_of(c.idle.begin(), c.idle.end(),
                       [&](const auto& k) { return Usable(*k, now); });
 }
 
-std::shared_ptr<UpstreamLink> UpstreamPool::Take(const UpstreamBoard& u,
-                                                 Duration connect_timeout) {
+std::shared_ptr<UpstreamLink> UpstreamPool::AcquireLink(
+    const UpstreamBoard& u, Duration connect_timeout) {
   Connections& c = connections_[u.info.id];
-  ++c.taken;
+  ++c.in_use;
   TimePoint now = clock_.Now();
-  // The most lately used first: the least likely to be closed meanwhile.
+  // The most recently used link goes first, because the upstream is least
+  // likely to have closed it.
   while (!c.idle.empty()) {
-    std::shared_ptr<UpstreamLink> k = std::move(c.idle.back());
+    std::shared_ptr<UpstreamLink> link = std::move(c.idle.back());
     c.idle.pop_back();
-    if (Usable(*k, now)) return k;
-    k->Close();
+    if (Usable(*link, now)) return link;
+    link->Close();
   }
-  return open_(u.info, connect_timeout);
+  return open_link_(u.info, connect_timeout);
 }
 
-void UpstreamPool::Give(const std::string& upstream_id,
-                        const std::shared_ptr<UpstreamLink>& c) {
-  Connections& k = connections_[upstream_id];
-  --k.taken;
-  if (c->open() && c->idle()) {
-    k.idle.push_back(c);
+void UpstreamPool::ReleaseLink(const std::string& upstream_id,
+                               const std::shared_ptr<UpstreamLink>& link) {
+  Connections& connections = connections_[upstream_id];
+  --connections.in_use;
+  if (link->open() && link->idle()) {
+    connections.idle.push_back(link);
   } else {
-    c->Close();
+    link->Close();
   }
 }
 
-std::shared_ptr<UpstreamLink> UpstreamPool::Reconnect(
+std::shared_ptr<UpstreamLink> UpstreamPool::OpenProbe(
     const UpstreamBoard& u, Duration connect_timeout) {
   Connections& c = connections_[u.info.id];
   for (const auto& k : c.idle) {
     if (k->established()) return k;
   }
-  c.idle.push_back(open_(u.info, connect_timeout));
+  c.idle.push_back(open_link_(u.info, connect_timeout));
   return c.idle.back();
 }
 
@@ -139,7 +140,7 @@
     for (auto it = keep; it != c.idle.end(); ++it) (*it)->Close();
     c.idle.erase(keep, c.idle.end());
   }
-  bool gone = false;
+  bool removed = false;
   for (size_t i = 0; i < boards_.size();) {
     UpstreamBoard& b = boards_[i];
     if (b.listed || b.in_flight > 0) {
@@ -149,9 +150,9 @@
     LogEvent("upstream_gone", {{"upstream", b.info.id}});
     connections_.erase(b.info.id);
     boards_.erase(boards_.begin() + static_cast<long>(i));
-    gone = true;
+    removed = true;
   }
-  if (!gone) return;
+  if (!removed) return;
   index_.clear();
   for (size_t i = 0; i < boards_.size(); ++i) index_[boards_[i].info.id] = i;
 }
--- a/src/upstream_pool.h
+++ b/src/upstream_pool.h
@@ -1,5 +1,5 @@
-// The upstreams an entry process knows, what it knows of each, and its kept
-// connections to them.
+// The upstreams known to an entry process, the state of each, and a pool of
+// reusable connections to them.
 #ifndef MEDLARWALK_UPSTREAM_POOL_H_
 #define MEDLARWALK_UPSTREAM_POOL_H_
 
@@ -16,53 +16,58 @@
 
 namespace medlarwalk {
 
-// Thread safety: loop thread only.
+// Boards and pooled links of all known upstreams. Thread safety: loop thread
+// only.
 class UpstreamPool {
  public:
   UpstreamPool(const Clock& clock, LinkOpener open);
 
-  // Takes over a new reading of the list. Upstreams no longer listed stay
-  // until their last request has ended. Returns the ids of those that have
-  // started again, of which nothing known before holds any more.
+  // Applies a newly read upstream list. Upstreams that are no longer listed
+  // stay until their last request has ended. Returns the ids of restarted
+  // upstreams, for which all earlier state is invalid.
   std::vector<std::string> Update(absl::Span<const UpstreamInfo> listed);
 
   std::vector<UpstreamBoard>& boards() { return boards_; }
   const std::vector<UpstreamBoard>& boards() const { return boards_; }
-  // The board of upstream `id`, or nullptr.
+  // Returns the board of upstream `id`, or nullptr.
   UpstreamBoard* Find(const std::string& id);
 
-  // Upstream `id` has said that it leaves: it gets no new work, from now on and
-  // whatever the list says. Returns whether that is new.
-  bool NoteLeaving(const std::string& id);
+  // Records that upstream `id` announced that it is draining. From now on it
+  // gets no new requests, even if the list does not show it as draining.
+  // Returns whether this is its first announcement.
+  bool RecordDraining(const std::string& id);
 
-  // A connection for one call, kept or new; a new one must be established
-  // within `connect_timeout`.
-  std::shared_ptr<UpstreamLink> Take(const UpstreamBoard& u,
-                                     Duration connect_timeout);
-  // Whether Take would have to open one beyond `limit`.
-  bool Full(const UpstreamBoard& u, int limit) const;
-  // Gives a connection back after its call.
-  void Give(const std::string& upstream_id,
-            const std::shared_ptr<UpstreamLink>& c);
+  // Returns a link for one call, a pooled one or a new one. A new connection
+  // must be established within `connect_timeout`.
+  std::shared_ptr<UpstreamLink> AcquireLink(const UpstreamBoard& u,
+                                            Duration connect_timeout);
+  // Returns whether AcquireLink would have to open a connection beyond `limit`.
+  bool AtConnectionLimit(const UpstreamBoard& u, int limit) const;
+  // Returns a link to the pool after its call, or closes it if it cannot be
+  // reused.
+  void ReleaseLink(const std::string& upstream_id,
+                   const std::shared_ptr<UpstreamLink>& link);
 
-  // A connection to `u` that is not in use: a kept one, or one that is being
-  // opened and kept from now on, and shows whether `u` still listens.
-  std::shared_ptr<UpstreamLink> Reconnect(const UpstreamBoard& u,
+  // Returns a pooled, unused link to `u` that shows whether `u` still listens:
+  // an established one, or a new one that is added to the pool.
+  std::shared_ptr<UpstreamLink> OpenProbe(const UpstreamBoard& u,
                                           Duration connect_timeout);
 
-  // Closes connections idle for too long and forgets upstreams that are gone.
+  // Closes links that were idle for too long and removes unlisted upstreams
+  // without requests.
   void Tick();
 
  private:
-  // Forgets what was known of `b` but its requests under way.
-  void StartAnew(UpstreamBoard& b, const UpstreamInfo& fresh);
+  // Resets the state of the restarted upstream `b`, but keeps the counts of its
+  // requests in flight.
+  void ResetBoard(UpstreamBoard& b, const UpstreamInfo& fresh);
   struct Connections {
     std::vector<std::shared_ptr<UpstreamLink>> idle;
-    int taken = 0;
+    int in_use = 0;
   };
 
   const Clock& clock_;
-  LinkOpener open_;
+  LinkOpener open_link_;
   std::vector<UpstreamBoard> boards_;
   std::unordered_map<std::string, size_t> index_;
   std::unordered_map<std::string, Connections> connections_;
--- a/test/answer_end_test.cc
+++ b/test/answer_end_test.cc
@@ -1,6 +1,6 @@
-// How the end of an answer is known, in every way an answer can end: each is
-// cut at every byte, by an orderly close and by a reset, and a cut answer must
-// never be taken for a whole one.
+// Detection of the end of an answer, for each way in which an answer can end.
+// Each answer is truncated at every byte, by an orderly close and by a reset; a
+// truncated answer must never count as complete.
 #include <ev.h>
 
 #include <functional>
@@ -21,74 +21,79 @@
 
 namespace {
 
-// How a scripted peer ends after what it says.
+// What a scripted peer does with its connection after its last piece.
 enum class Ending { kStay, kClose, kReset };
 
-// A peer that answers the first bytes it gets with `says`, piece by piece.
+// A server that answers the first bytes it receives with `pieces`, one at a
+// time.
 class Peer {
  public:
-  Peer(struct ev_loop* loop, std::vector<std::string> says, Ending ending,
+  Peer(struct ev_loop* loop, std::vector<std::string> pieces, Ending ending,
        int port = 0)
       : listener_(loop, [=](std::shared_ptr<TcpConnection> tcp) {
-          auto told = std::make_shared<bool>(false);
+          auto answered = std::make_shared<bool>(false);
           TcpConnection* t = tcp.get();
-          TcpEvents e;
-          e.on_data = [=](absl::string_view) {
-            if (*told) return;
-            *told = true;
-            Say(loop, t->shared_from_this(), says, 0, ending);
+          TcpEvents events;
+          events.on_data = [=](absl::string_view) {
+            if (*answered) return;
+            *answered = true;
+            SendPiece(loop, t->shared_from_this(), pieces, 0, ending);
           };
-          e.on_closed = [this](const absl::Status&) { ++left_; };
-          tcp->set_events(std::move(e));
+          events.on_closed = [this](const absl::Status&) {
+            ++closed_by_client_;
+          };
+          tcp->set_events(std::move(events));
           open_.push_back(std::move(tcp));
         }) {
     CHECK_TRUE(listener_.Listen({"127.0.0.1", port}).ok());
   }
-  Endpoint at() const { return {"127.0.0.1", listener_.port()}; }
-  // Connections that their callers have closed.
-  int left() const { return left_; }
+  Endpoint endpoint() const { return {"127.0.0.1", listener_.port()}; }
+  // Returns the number of connections that clients have closed.
+  int closed_by_client() const { return closed_by_client_; }
 
  private:
-  static void Say(struct ev_loop* loop, std::shared_ptr<TcpConnection> tcp,
-                  const std::vector<std::string>& says, size_t next,
-                  Ending ending) {
-    if (next < says.size()) tcp->Write(says[next]);
-    if (next + 1 < says.size()) {
-      // Long enough apart to be read one by one.
-      Later(loop, 20, [=] { Say(loop, tcp, says, next + 1, ending); });
+  static void SendPiece(struct ev_loop* loop,
+                        std::shared_ptr<TcpConnection> tcp,
+                        const std::vector<std::string>& pieces, size_t next,
+                        Ending ending) {
+    if (next < pieces.size()) tcp->Write(pieces[next]);
+    if (next + 1 < pieces.size()) {
+      // The delay is long enough for the pieces to be read one by one.
+      Later(loop, 20, [=] { SendPiece(loop, tcp, pieces, next + 1, ending); });
     } else if (ending == Ending::kClose) {
       tcp->CloseAfterWrites();
     } else if (ending == Ending::kReset) {
-      // After the bytes were read: a reset drops what is still on its way.
+      // Waits until the bytes were read, because a reset drops bytes in
+      // transit.
       Later(loop, 2, [tcp] { tcp->Reset(); });
     }
   }
-  int left_ = 0;
+  int closed_by_client_ = 0;
   std::vector<std::shared_ptr<TcpConnection>> open_;
   TcpListener listener_;
 };
 
-// What a caller of a link saw.
-struct Seen {
+// Result of a call as seen by the caller of a link.
+struct CallResult {
   bool ended = false;
   CallEnd end = CallEnd::kNotSent;
   std::string body;
   std::string why;
 };
 
-UpstreamCall Get(Seen* seen) {
+UpstreamCall MakeGetCall(CallResult* result) {
   UpstreamCall u;
   u.request.method = "GET";
   u.request.target = "/";
   u.request.headers = {{"host", "x"}};
   u.on_head = [](const MessageHead&) { return true; };
-  u.on_body = [seen](absl::string_view d) {
-    seen->body.append(d.data(), d.size());
+  u.on_body = [result](absl::string_view d) {
+    result->body.append(d.data(), d.size());
   };
-  u.on_end = [seen](CallEnd end, absl::string_view why) {
-    seen->ended = true;
-    seen->end = end;
-    seen->why = std::string(why);
+  u.on_end = [result](CallEnd end, absl::string_view why) {
+    result->ended = true;
+    result->end = end;
+    result->why = std::string(why);
   };
   return u;
 }
@@ -101,27 +106,29 @@
   return done();
 }
 
-Seen OverHttp1(struct ev_loop* loop, const std::string& says, Ending ending) {
+CallResult CallOverHttp1(struct ev_loop* loop, const std::string& answer,
+                         Ending ending) {
   BootClock clock;
-  Peer peer(loop, {says}, ending);
-  auto c = Http1Client::Open(loop, clock, peer.at(), Millis(1000));
-  Seen seen;
-  c->Start(Get(&seen));
-  CHECK_TRUE(Await(loop, [&] { return seen.ended; }));
+  Peer peer(loop, {answer}, ending);
+  auto c = Http1Client::Open(loop, clock, peer.endpoint(), Millis(1000));
+  CallResult result;
+  c->Start(MakeGetCall(&result));
+  CHECK_TRUE(Await(loop, [&] { return result.ended; }));
   c->Close();
-  return seen;
+  return result;
 }
 
-Seen OverHttp2(struct ev_loop* loop, const std::string& says, Ending ending) {
+CallResult CallOverHttp2(struct ev_loop* loop, const std::string& answer,
+                         Ending ending) {
   BootClock clock;
-  Peer peer(loop, {says}, ending);
-  H2Client client(loop, clock, "127.0.0.1", peer.at().port, Millis(1000),
+  Peer peer(loop, {answer}, ending);
+  H2Client client(loop, clock, "127.0.0.1", peer.endpoint().port, Millis(1000),
                   Millis(3000));
   auto link = std::make_shared<AgentLink>(client);
-  Seen seen;
-  link->Start(Get(&seen));
-  CHECK_TRUE(Await(loop, [&] { return seen.ended; }));
-  return seen;
+  CallResult result;
+  link->Start(MakeGetCall(&result));
+  CHECK_TRUE(Await(loop, [&] { return result.ended; }));
+  return result;
 }
 
 std::string Frame(char type, char flags, char stream, std::string payload) {
@@ -133,8 +140,8 @@
   return out + payload;
 }
 
-// HTTP/2: SETTINGS, HEADERS with ":status: 200", DATA.
-const std::string kH2Head = Frame(4, 0, 0, "") + Frame(1, 4, 1, "\x88");
+// HTTP/2 frames SETTINGS and HEADERS with ":status: 200".
+const std::string kH2AnswerHead = Frame(4, 0, 0, "") + Frame(1, 4, 1, "\x88");
 
 }  // namespace
 
@@ -142,85 +149,91 @@
   struct ev_loop* loop = ev_loop_new(EVFLAG_AUTO);
   void teardown() override { ev_loop_destroy(loop); }
 
-  // `whole` in the ways `said` ends in order, and at every cut of it.
-  void CutEverywhere(const std::string& said, size_t body, const char* known) {
-    Seen whole = OverHttp1(loop, said, Ending::kStay);
+  // Checks that `answer` is complete as a whole, with `body` bytes and its end
+  // detected by `end_detected_by`, and incomplete when truncated at any byte.
+  void CheckEveryTruncation(const std::string& answer, size_t body,
+                            const char* end_detected_by) {
+    CallResult whole = CallOverHttp1(loop, answer, Ending::kStay);
     CHECK_TRUE(whole.end == CallEnd::kWhole);
-    STRCMP_EQUAL(known, whole.why.c_str());
+    STRCMP_EQUAL(end_detected_by, whole.why.c_str());
     LONGS_EQUAL(body, whole.body.size());
-    for (size_t n = 0; n < said.size(); ++n) {
-      for (Ending e : {Ending::kClose, Ending::kReset}) {
-        Seen cut = OverHttp1(loop, said.substr(0, n), e);
+    for (size_t length = 0; length < answer.size(); ++length) {
+      for (Ending ending : {Ending::kClose, Ending::kReset}) {
+        CallResult cut = CallOverHttp1(loop, answer.substr(0, length), ending);
         CHECK_TRUE_TEXT(
             cut.end == CallEnd::kBrokenOff || cut.end == CallEnd::kNoAnswer,
-            absl::StrCat("cut after ", n, " bytes").c_str());
+            absl::StrCat("cut after ", length, " bytes").c_str());
       }
     }
   }
 };
 
-TEST(answer_end, WithALength) {
-  CutEverywhere("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndata: a\n\n", 9,
-                "length");
+TEST(answer_end, ContentLengthMarksTheEnd) {
+  CheckEveryTruncation(
+      "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndata: a\n\n", 9, "length");
 }
 
-TEST(answer_end, Chunked) {
-  CutEverywhere(
+TEST(answer_end, LastChunkMarksTheEnd) {
+  CheckEveryTruncation(
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
       "5\r\ndata:\r\n4\r\n a\n\n\r\n0\r\n\r\n",
       9, "last_chunk");
 }
 
-// Without a length the connection's end is the answer's: an orderly one, at
-// any byte after the head. One that is reset is not whole, also after its
-// last byte.
-TEST(answer_end, WithItsConnection) {
+// Without a length, an orderly close at any byte after the head ends the
+// answer. After a reset the answer is never complete, not even after its last
+// byte.
+TEST(answer_end, OrderlyCloseMarksTheEndWithoutALength) {
   const std::string head = "HTTP/1.1 200 OK\r\n\r\n";
-  const std::string said = head + "data: a\n\n";
-  for (size_t n = 0; n <= said.size(); ++n) {
-    Seen closed = OverHttp1(loop, said.substr(0, n), Ending::kClose);
-    CHECK_EQUAL(n >= head.size(), closed.end == CallEnd::kWhole);
+  const std::string answer = head + "data: a\n\n";
+  for (size_t length = 0; length <= answer.size(); ++length) {
+    CallResult closed =
+        CallOverHttp1(loop, answer.substr(0, length), Ending::kClose);
+    CHECK_EQUAL(length >= head.size(), closed.end == CallEnd::kWhole);
     if (closed.end == CallEnd::kWhole) {
       STRCMP_EQUAL("close", closed.why.c_str());
-      LONGS_EQUAL(n - head.size(), closed.body.size());
+      LONGS_EQUAL(length - head.size(), closed.body.size());
     }
-    Seen reset = OverHttp1(loop, said.substr(0, n), Ending::kReset);
+    CallResult reset =
+        CallOverHttp1(loop, answer.substr(0, length), Ending::kReset);
     CHECK_FALSE(reset.end == CallEnd::kWhole);
   }
 }
 
-TEST(answer_end, AsAStreamToAnAgent) {
-  const std::string said = kH2Head + Frame(0, 1, 1, "data: a\n\n");
-  Seen whole = OverHttp2(loop, said, Ending::kStay);
+TEST(answer_end, EndStreamMarksTheEndOfAnAgentStream) {
+  const std::string answer = kH2AnswerHead + Frame(0, 1, 1, "data: a\n\n");
+  CallResult whole = CallOverHttp2(loop, answer, Ending::kStay);
   CHECK_TRUE(whole.end == CallEnd::kWhole);
   STRCMP_EQUAL("stream_end", whole.why.c_str());
   STRCMP_EQUAL("data: a\n\n", whole.body.c_str());
-  for (size_t n = 0; n < said.size(); ++n) {
-    for (Ending e : {Ending::kClose, Ending::kReset}) {
-      Seen cut = OverHttp2(loop, said.substr(0, n), e);
+  for (size_t length = 0; length < answer.size(); ++length) {
+    for (Ending ending : {Ending::kClose, Ending::kReset}) {
+      CallResult cut = CallOverHttp2(loop, answer.substr(0, length), ending);
       CHECK_FALSE_TEXT(cut.end == CallEnd::kWhole,
-                       absl::StrCat("cut after ", n, " bytes").c_str());
+                       absl::StrCat("cut after ", length, " bytes").c_str());
     }
   }
 }
 
-// Symptom: a stream that its agent gave up is passed on as whole. Sequence:
-// the head and one event, then RST_STREAM with no error in place of the
-// stream's end. Cause: the error code alone was looked at, which says why the
-// stream was reset and not that the answer was complete.
-TEST(answer_end, AResetWithoutAnErrorIsNotTheEnd) {
+// Guards against relaying a stream that the agent gave up as complete. The
+// agent sends the head, one event and then RST_STREAM with NO_ERROR instead of
+// END_STREAM. The error code tells why the stream was reset, not that the
+// answer was complete.
+TEST(answer_end, ResetWithNoErrorIsNotTheEnd) {
   const std::string reset = Frame(3, 0, 1, std::string(4, '\0'));
-  Seen seen = OverHttp2(loop, kH2Head + Frame(0, 0, 1, "data: a\n\n") + reset,
-                        Ending::kStay);
-  CHECK_TRUE(seen.end == CallEnd::kBrokenOff);
+  CallResult result =
+      CallOverHttp2(loop, kH2AnswerHead + Frame(0, 0, 1, "data: a\n\n") + reset,
+                    Ending::kStay);
+  CHECK_TRUE(result.end == CallEnd::kBrokenOff);
 }
 
-// Symptom: a stream cut by its engine reaches the caller as whole. Sequence:
-// the engine answers without a length; the first piece that the agent reads
-// ends inside "data:"; the engine's connection ends before "[DONE]". Cause:
-// the agent knew a stream by its first five bytes only, and an answer that is
-// no stream and has no length is whole when its connection ends.
-TEST(answer_end, AStreamWhoseFirstPieceIsShortIsStillAStream) {
+// Guards against relaying a stream that the engine cut short as complete. The
+// engine answers without a length, the first piece that the agent reads ends
+// inside "data:", and the engine's connection closes before "[DONE]". An agent
+// that recognizes a stream only by its first five bytes misses it, and an
+// answer without a length that is no stream is complete when its connection
+// closes.
+TEST(answer_end, StreamWithAShortFirstPieceIsRecognized) {
   BootClock clock;
   int base = FreeBase();
   Settings settings = *ParseSettings(DefaultSettingsJson(base));
@@ -229,38 +242,39 @@
   const std::string head =
       "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
   std::string stream = "data: a\n\ndata: [DONE]\n\n";
-  auto ask = [&](std::vector<std::string> says) {
-    Endpoint at;
-    CHECK_TRUE(ParseEndpoint(engine->url.substr(7), &at).ok());
-    Peer peer(loop, std::move(says), Ending::kClose, at.port);
+  auto call_through_agent = [&](std::vector<std::string> pieces) {
+    Endpoint endpoint;
+    CHECK_TRUE(ParseEndpoint(engine->url.substr(7), &endpoint).ok());
+    Peer peer(loop, std::move(pieces), Ending::kClose, endpoint.port);
     Agent agent(loop, clock, settings, host->name, "");
     CHECK_TRUE(agent.Start().ok());
     H2Client client(loop, clock, "127.0.0.1", host->port, Millis(1000),
                     Millis(3000));
     auto link = std::make_shared<AgentLink>(client);
-    Seen seen;
-    UpstreamCall u = Get(&seen);
+    CallResult result;
+    UpstreamCall u = MakeGetCall(&result);
     u.request.headers = {{kH2Upstream, engine->name}};
     link->Start(std::move(u));
-    CHECK_TRUE(Await(loop, [&] { return seen.ended; }));
-    return seen;
+    CHECK_TRUE(Await(loop, [&] { return result.ended; }));
+    return result;
   };
-  CHECK_TRUE(ask({head + "da", stream.substr(2)}).end == CallEnd::kWhole);
-  CHECK_FALSE(ask({head + "da", stream.substr(2, 7)}).end == CallEnd::kWhole);
+  CHECK_TRUE(call_through_agent({head + "da", stream.substr(2)}).end ==
+             CallEnd::kWhole);
+  CHECK_FALSE(call_through_agent({head + "da", stream.substr(2, 7)}).end ==
+              CallEnd::kWhole);
 }
 
-// Symptom: an engine reads a prompt on for a caller that has left. Sequence:
-// the call is cancelled before the engine has answered a byte. Cause: a
-// cancelled call was taken out at its next byte only, or at its timeout of 30
-// s.
-TEST(answer_end, ACancelledCallIsClosedAtOnce) {
+// Guards against an engine that continues a prefill after the caller has
+// disconnected. The call is cancelled before the engine has answered a byte. A
+// cancelled call must not stay open until its next byte or its timeout of 30 s.
+TEST(answer_end, CancelledCallIsClosedAtOnce) {
   Peer peer(loop, {}, Ending::kStay);
   HttpClient client(loop);
   HttpCall call;
-  call.url = absl::StrCat("http://", peer.at().ToString(), "/");
+  call.url = absl::StrCat("http://", peer.endpoint().ToString(), "/");
   uint64_t id = client.Start(std::move(call));
   Later(loop, 50, [&] { client.Cancel(id); });
   CHECK_TRUE(Await(
-      loop, [&] { return peer.left() == 1; }, 500));
+      loop, [&] { return peer.closed_by_client() == 1; }, 500));
   LONGS_EQUAL(0, client.active());
 }
--- a/test/upstream_pool_test.cc
+++ b/test/upstream_pool_test.cc
@@ -1,4 +1,4 @@
-// What an entry keeps of an upstream across readings of the list.
+// State that an entry process keeps of an upstream across list updates.
 #include "upstream_pool.h"
 
 #include "CppUTest/TestHarness.h"
@@ -39,31 +39,33 @@
   UpstreamPool pool{clock, [](const UpstreamInfo&, Duration) {
                       return std::make_shared<IdleLink>();
                     }};
-  std::vector<std::string> Read(const UpstreamInfo& u) {
+  std::vector<std::string> UpdateList(const UpstreamInfo& u) {
     return pool.Update({u});
   }
-  // The upstream has failed, is said to be gone, and one connection is kept.
-  std::shared_ptr<UpstreamLink> KnowMuch() {
+  // Gives the upstream a termination mark, a load, requests in flight and one
+  // pooled link.
+  std::shared_ptr<UpstreamLink> SetFailedState() {
     UpstreamBoard& b = *pool.Find("i-1");
     b.ended = true;
     b.reported = 60;
     b.in_flight = 3;
-    auto link = pool.Take(b, Millis(100));
-    pool.Give("i-1", link);
+    auto link = pool.AcquireLink(b, Millis(100));
+    pool.ReleaseLink("i-1", link);
     return link;
   }
 };
 
-// Symptom: an upstream that is back gets no work, or is taken for one that
-// holds prompts it has lost. Sequence: it starts again under its old id, and
-// was believed gone (another incarnation had answered at its address), loaded
-// and connected. Cause: what was known went by its id alone.
-TEST(upstream_pool, AnUpstreamThatStartedAgainIsKnownForNothing) {
-  Read(Engine(1000));
-  std::shared_ptr<UpstreamLink> link = KnowMuch();
-  LONGS_EQUAL(0, Read(Engine(1000)).size());
+// Guards against stale state of a restarted upstream, which would get no
+// requests or count as holding prompts that it has lost. The upstream restarts
+// under its old id while its board marks it as terminated (another incarnation
+// answered at its address), loaded and connected. State kept by id alone would
+// survive the restart.
+TEST(upstream_pool, RestartResetsTheState) {
+  UpdateList(Engine(1000));
+  std::shared_ptr<UpstreamLink> link = SetFailedState();
+  LONGS_EQUAL(0, UpdateList(Engine(1000)).size());
   CHECK_TRUE(pool.Find("i-1")->ended);
-  LONGS_EQUAL(1, Read(Engine(2000)).size());
+  LONGS_EQUAL(1, UpdateList(Engine(2000)).size());
   const UpstreamBoard& b = *pool.Find("i-1");
   CHECK_FALSE(b.ended);
   LONGS_EQUAL(0, b.reported);
@@ -72,19 +74,20 @@
   CHECK_FALSE(link->open());
 }
 
-// The list lags and several processes read it: an older reading that comes
-// late must not bring the earlier start back.
-TEST(upstream_pool, AnOlderReadingDoesNotBringTheEarlierStartBack) {
-  Read(Engine(2000));
-  LONGS_EQUAL(0, Read(Engine(1000)).size());
+// Guards against an outdated list that arrives late and restores the earlier
+// start time. The list lags and several processes read it.
+TEST(upstream_pool, OutdatedListDoesNotRestoreTheEarlierStart) {
+  UpdateList(Engine(2000));
+  LONGS_EQUAL(0, UpdateList(Engine(1000)).size());
   CHECK_EQUAL(2000, pool.Find("i-1")->info.born);
   CHECK_TRUE(pool.Find("i-1")->listed);
 }
 
-// Where no start is told, another address tells it.
-TEST(upstream_pool, AnotherAddressIsAnotherStart) {
-  Read(Engine(0));
-  KnowMuch();
-  LONGS_EQUAL(1, Read(Engine(0, 81)).size());
+// Without a start time in the list, a new address means that the upstream has
+// restarted.
+TEST(upstream_pool, NewAddressCountsAsARestart) {
+  UpdateList(Engine(0));
+  SetFailedState();
+  LONGS_EQUAL(1, UpdateList(Engine(0, 81)).size());
   CHECK_FALSE(pool.Find("i-1")->ended);
 }
