--- a/src/dialect.h
+++ b/src/dialect.h
@@ -28,11 +28,11 @@
   std::string key;                   // Key of the client account; may be empty.
   std::string host;                  // Host and path select the route.
   std::string path;
-  int64_t prompt_tokens = 0;  // 0 if not stated.
+  int64_t prompt_tokens = 0;  // 0 if not stated by the caller.
   int64_t most_output_tokens = 0;
   int64_t likely_output_tokens = 0;  // Caller's estimate; 0 if none.
   std::vector<PromptPart> parts;
-  std::optional<int64_t> last_event;  // Resume after this event.
+  std::optional<int64_t> last_event;  // Answer resumes after this event.
   // Override the route's kind and repeatability if set by the request.
   std::optional<RequestKind> kind;
   std::optional<bool> repeatable;
@@ -47,7 +47,7 @@
   Duration patience{};                 // Remaining time that the caller waits.
   std::string account;                 // Client account; empty if none.
   std::optional<int> engine_priority;  // 0 is the most urgent.
-  std::optional<int64_t> last_event;   // Resume after this event.
+  std::optional<int64_t> last_event;   // Answer resumes after this event.
   // Address of an engine that caches leading parts of the prompt. Copying them
   // is cheaper than another prefill. Empty ip: none known.
   Endpoint copy_from;
@@ -64,7 +64,8 @@
   // termination cut it short or none was observed.
   std::string upstream_end;
   bool signed_whole = false;  // The answer has the upstream's signature.
-  // Whether the answer reports the upstream's load, and the load.
+  // Whether the answer reports the upstream's load; if so, the numbers of
+  // running and waiting requests.
   bool has_load = false;
   int running = 0;
   int waiting = 0;
--- a/src/gateway.cc
+++ b/src/gateway.cc
@@ -18,7 +18,7 @@
 // one.
 constexpr auto kMaxConfigWait = Millis(900);
 // How long after its prefill a prompt part is assumed to be cached at the
-// engine, and the number of prompt parts remembered.
+// engine, and how many prompt parts are remembered at most.
 constexpr auto kPrefixHolderTrust = std::chrono::seconds(12);
 constexpr size_t kMaxRememberedParts = 4096;
 
@@ -260,7 +260,8 @@
 }
 
 bool Gateway::TrySend(Request& r) {
-  // A request that was sent before continues regardless of waiting requests.
+  // The tier guard holds back first attempts only: a request that has begun
+  // continues even if more urgent requests wait.
   if (r.sends == 0 &&
       !TierGuardFor(r.service->name).Admits(r.tier, clock_.Now())) {
     return false;
--- a/src/gateway.h
+++ b/src/gateway.h
@@ -1,8 +1,8 @@
 // Request handling in an entry process. A request is matched to its route and
 // client account, waits for a slot, is sent to an upstream, is retried at
-// another one where that is allowed, and gets exactly one final answer.
-// Placement and waiting make the decisions; the gateway and upstream_pool do
-// the input and output.
+// another one where that is allowed, and gets exactly one final answer. The
+// modules placement and waiting make the decisions; the gateway and
+// upstream_pool do the input and output.
 #ifndef MEDLARWALK_GATEWAY_H_
 #define MEDLARWALK_GATEWAY_H_
 
@@ -90,8 +90,8 @@
   void MergeLimits(absl::Span<const LimitRecord> records);
   // Records a load report that did not come with an answer.
   void NoteLoad(const std::string& upstream, int running, int waiting);
-  // Records whether the upstream is reachable, as observed other than by
-  // answers.
+  // Records whether the upstream is reachable, according to a source other than
+  // its answers.
   void SetReachable(const std::string& upstream, bool reachable);
   // Runs timeouts and periodic work. Must be called every few tens of
   // milliseconds.
--- a/src/gateway_request.h
+++ b/src/gateway_request.h
@@ -16,9 +16,9 @@
 // Connect timeouts of one request, one per connection attempt; failed
 // connection attempts do not count as attempts of the request. A running host
 // answers within a round trip; a host without power never does, and a request
-// must not spend its latency target on that host. The last timeouts add up to
-// more than a second, after which the kernel retransmits a lost first packet;
-// in that case the network is slow.
+// must not spend its latency target on that host. The last timeouts grow until
+// they exceed the second after which the kernel retransmits a lost first
+// packet: if all shorter ones expire, the network is slow.
 inline constexpr std::array<Millis, 4> kConnectTimeouts = {
     Millis(250), Millis(250), Millis(600), Millis(1200)};
 
--- a/src/gateway_timers.cc
+++ b/src/gateway_timers.cc
@@ -14,12 +14,12 @@
 
 // A stream without progress is retried at another upstream, if allowed, after
 // this many inter-token targets, or before its first event after this many
-// latency targets.
+// latency targets, but no sooner than kMinStreamStall.
 constexpr int kStallInterTokenTargets = 6;
 constexpr int kStallFirstEventTargets = 2;
 constexpr auto kMinStreamStall = Millis(1000);
 // A repeatable plain request is retried at another upstream after this many
-// latency targets without an answer.
+// latency targets without an answer, but no sooner than kMinPlainStall.
 constexpr int kPlainStallLatencyTargets = 3;
 constexpr auto kMinPlainStall = Millis(300);
 // Smoothing time of the demand for long generations. Without smoothing, a few
--- a/src/serving.cc
+++ b/src/serving.cc
@@ -90,8 +90,8 @@
             return o;
           }(),
           options_.control_seeds,
-          [this](const WatchReply& r, bool up_to_date) {
-            OnWatchReply(r, up_to_date);
+          [this](const WatchReply& r, bool in_sync) {
+            OnWatchReply(r, in_sync);
           }),
       lister_(loop, clock, options_.list),
       // Initialized to now so that this process does not read the list itself
@@ -130,7 +130,7 @@
   return !draining_ && gateway_.has_config() && list_.version() != 0;
 }
 
-void Serving::OnWatchReply(const WatchReply& r, bool up_to_date) {
+void Serving::OnWatchReply(const WatchReply& r, bool in_sync) {
   // Crash records and limits are merged from any control process, because a
   // recorded crash never becomes invalid.
   if (r.quarantine) MergeCrashRecords(*r.quarantine);
@@ -139,9 +139,8 @@
   // configuration is applied only if it is newer than the one in force here,
   // and never as the first one.
   bool first = watch_.state().config_version == 0;
-  if (r.config && (up_to_date || !first))
-    ApplyConfig(r.config_version, *r.config);
-  if (!up_to_date) return;
+  if (r.config && (in_sync || !first)) ApplyConfig(r.config_version, *r.config);
+  if (!in_sync) return;
   gateway_.NoteInStep(clock_.Now() - Millis(r.age_ms));
   if (r.unix_ms > 0) group_time_.NoteTold(r.unix_ms, clock_.Now());
   usage_.DropThrough(r.usage_fixed);
--- a/src/serving.h
+++ b/src/serving.h
@@ -63,7 +63,7 @@
  private:
   static void OnTick(struct ev_loop* loop, ev_timer* w, int revents);
   void Tick();
-  void OnWatchReply(const WatchReply& r, bool up_to_date);
+  void OnWatchReply(const WatchReply& r, bool in_sync);
   void MergeCrashRecords(absl::string_view encoded);
   void MergeLimitRecords(absl::string_view encoded);
   void CountAccountRun(const std::string& account);
--- a/test/answer_end_test.cc
+++ b/test/answer_end_test.cc
@@ -26,10 +26,10 @@
 
 // A server that answers the first bytes it receives with `pieces`, one at a
 // time.
-class Peer {
+class ScriptedServer {
  public:
-  Peer(struct ev_loop* loop, std::vector<std::string> pieces, Ending ending,
-       int port = 0)
+  ScriptedServer(struct ev_loop* loop, std::vector<std::string> pieces,
+                 Ending ending, int port = 0)
       : listener_(loop, [=](std::shared_ptr<TcpConnection> tcp) {
           auto answered = std::make_shared<bool>(false);
           TcpConnection* t = tcp.get();
@@ -98,8 +98,8 @@
   return u;
 }
 
-bool Await(struct ev_loop* loop, const std::function<bool()>& done,
-           int ms = 2000) {
+bool RunLoopUntil(struct ev_loop* loop, const std::function<bool()>& done,
+                  int ms = 2000) {
   BootClock clock;
   TimePoint until = clock.Now() + Millis(ms);
   while (!done() && clock.Now() < until) ev_run(loop, EVRUN_ONCE);
@@ -109,11 +109,11 @@
 CallResult CallOverHttp1(struct ev_loop* loop, const std::string& answer,
                          Ending ending) {
   BootClock clock;
-  Peer peer(loop, {answer}, ending);
+  ScriptedServer peer(loop, {answer}, ending);
   auto c = Http1Client::Open(loop, clock, peer.endpoint(), Millis(1000));
   CallResult result;
   c->Start(MakeGetCall(&result));
-  CHECK_TRUE(Await(loop, [&] { return result.ended; }));
+  CHECK_TRUE(RunLoopUntil(loop, [&] { return result.ended; }));
   c->Close();
   return result;
 }
@@ -121,13 +121,13 @@
 CallResult CallOverHttp2(struct ev_loop* loop, const std::string& answer,
                          Ending ending) {
   BootClock clock;
-  Peer peer(loop, {answer}, ending);
+  ScriptedServer peer(loop, {answer}, ending);
   H2Client client(loop, clock, "127.0.0.1", peer.endpoint().port, Millis(1000),
                   Millis(3000));
   auto link = std::make_shared<AgentLink>(client);
   CallResult result;
   link->Start(MakeGetCall(&result));
-  CHECK_TRUE(Await(loop, [&] { return result.ended; }));
+  CHECK_TRUE(RunLoopUntil(loop, [&] { return result.ended; }));
   return result;
 }
 
@@ -215,10 +215,10 @@
   }
 }
 
-// Guards against relaying a stream that the agent gave up as complete. The
-// agent sends the head, one event and then RST_STREAM with NO_ERROR instead of
-// END_STREAM. The error code tells why the stream was reset, not that the
-// answer was complete.
+// Guards against relaying an abandoned stream as complete. The agent gives up
+// the stream: it sends the head, one event and then RST_STREAM with NO_ERROR
+// instead of END_STREAM. The error code tells why the stream was reset, not
+// that the answer was complete.
 TEST(answer_end, ResetWithNoErrorIsNotTheEnd) {
   const std::string reset = Frame(3, 0, 1, std::string(4, '\0'));
   CallResult result =
@@ -230,9 +230,9 @@
 // Guards against relaying a stream that the engine cut short as complete. The
 // engine answers without a length, the first piece that the agent reads ends
 // inside "data:", and the engine's connection closes before "[DONE]". An agent
-// that recognizes a stream only by its first five bytes misses it, and an
-// answer without a length that is no stream is complete when its connection
-// closes.
+// that recognizes streams only by their first five bytes would take this one
+// for a plain answer. A plain answer without a length is complete when its
+// connection closes.
 TEST(answer_end, StreamWithAShortFirstPieceIsRecognized) {
   BootClock clock;
   int base = FreeBase();
@@ -245,7 +245,7 @@
   auto call_through_agent = [&](std::vector<std::string> pieces) {
     Endpoint endpoint;
     CHECK_TRUE(ParseEndpoint(engine->url.substr(7), &endpoint).ok());
-    Peer peer(loop, std::move(pieces), Ending::kClose, endpoint.port);
+    ScriptedServer peer(loop, std::move(pieces), Ending::kClose, endpoint.port);
     Agent agent(loop, clock, settings, host->name, "");
     CHECK_TRUE(agent.Start().ok());
     H2Client client(loop, clock, "127.0.0.1", host->port, Millis(1000),
@@ -255,7 +255,7 @@
     UpstreamCall u = MakeGetCall(&result);
     u.request.headers = {{kH2Upstream, engine->name}};
     link->Start(std::move(u));
-    CHECK_TRUE(Await(loop, [&] { return result.ended; }));
+    CHECK_TRUE(RunLoopUntil(loop, [&] { return result.ended; }));
     return result;
   };
   CHECK_TRUE(call_through_agent({head + "da", stream.substr(2)}).end ==
@@ -268,13 +268,13 @@
 // disconnected. The call is cancelled before the engine has answered a byte. A
 // cancelled call must not stay open until its next byte or its timeout of 30 s.
 TEST(answer_end, CancelledCallIsClosedAtOnce) {
-  Peer peer(loop, {}, Ending::kStay);
+  ScriptedServer peer(loop, {}, Ending::kStay);
   HttpClient client(loop);
   HttpCall call;
   call.url = absl::StrCat("http://", peer.endpoint().ToString(), "/");
   uint64_t id = client.Start(std::move(call));
   Later(loop, 50, [&] { client.Cancel(id); });
-  CHECK_TRUE(Await(
+  CHECK_TRUE(RunLoopUntil(
       loop, [&] { return peer.closed_by_client() == 1; }, 500));
   LONGS_EQUAL(0, client.active());
 }
