--- a/src/base/disk_file.cc
+++ b/src/base/disk_file.cc
@@ -17,7 +17,7 @@
   while (!data.empty()) {
     ssize_t n = write(fd, data.data(), data.size());
     if (n < 0 && errno == EINTR) continue;
-    if (n <= 0) return Errno("write");
+    if (n <= 0) return ErrnoStatus("write");
     data.remove_prefix(static_cast<size_t>(n));
   }
   return absl::OkStatus();
@@ -25,60 +25,63 @@
 
 }  // namespace
 
-absl::Status Errno(absl::string_view what) {
-  return absl::UnavailableError(absl::StrCat(what, ": ", std::strerror(errno)));
+absl::Status ErrnoStatus(absl::string_view operation) {
+  return absl::UnavailableError(
+      absl::StrCat(operation, ": ", std::strerror(errno)));
 }
 
 absl::Status SyncDir(const std::string& dir) {
   int fd = open(dir.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-  if (fd < 0) return Errno("open dir");
+  if (fd < 0) return ErrnoStatus("open directory");
   int rc = fsync(fd);
   close(fd);
-  return rc == 0 ? absl::OkStatus() : Errno("sync dir");
+  return rc == 0 ? absl::OkStatus() : ErrnoStatus("sync directory");
 }
 
 absl::StatusOr<std::string> ReadFile(const std::string& path) {
   int fd = open(path.c_str(), O_RDONLY | O_CLOEXEC);
   if (fd < 0) {
     if (errno == ENOENT) return absl::NotFoundError(path);
-    return Errno("open");
+    return ErrnoStatus("open");
   }
-  std::string out;
+  std::string content;
   char buf[64 * 1024];
   for (;;) {
-    ssize_t n = read(fd, buf, sizeof(buf));
-    if (n < 0 && errno == EINTR) continue;
-    if (n < 0) {
-      absl::Status s = Errno("read");
+    ssize_t count = read(fd, buf, sizeof(buf));
+    if (count < 0 && errno == EINTR) continue;
+    if (count < 0) {
+      absl::Status status = ErrnoStatus("read");
       close(fd);
-      return s;
+      return status;
     }
-    if (n == 0) break;
-    out.append(buf, static_cast<size_t>(n));
+    if (count == 0) break;
+    content.append(buf, static_cast<size_t>(count));
   }
   close(fd);
-  return out;
+  return content;
 }
 
 absl::Status WriteAll(int fd, absl::string_view data,
                       const BeforeWrite& before_write) {
-  absl::Status s = before_write ? before_write() : absl::OkStatus();
-  absl::Status written =
-      WriteBytes(fd, s.ok() ? data : data.substr(0, data.size() / 2));
-  return s.ok() ? written : s;
+  absl::Status hook_status = before_write ? before_write() : absl::OkStatus();
+  absl::Status write_status =
+      WriteBytes(fd, hook_status.ok() ? data : data.substr(0, data.size() / 2));
+  return hook_status.ok() ? write_status : hook_status;
 }
 
 absl::StatusOr<int> ReplaceFile(const std::string& path, absl::string_view data,
                                 const BeforeWrite& before_write) {
-  std::string fresh = path + ".new";
-  int fd = open(fresh.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
-  if (fd < 0) return Errno("create");
-  absl::Status s = WriteAll(fd, data, before_write);
-  if (s.ok() && fsync(fd) != 0) s = Errno("sync");
-  if (s.ok() && rename(fresh.c_str(), path.c_str()) != 0) s = Errno("rename");
-  if (s.ok()) return fd;
+  std::string temp_path = path + ".new";
+  int fd =
+      open(temp_path.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
+  if (fd < 0) return ErrnoStatus("create");
+  absl::Status status = WriteAll(fd, data, before_write);
+  if (status.ok() && fsync(fd) != 0) status = ErrnoStatus("sync");
+  if (status.ok() && rename(temp_path.c_str(), path.c_str()) != 0)
+    status = ErrnoStatus("rename");
+  if (status.ok()) return fd;
   close(fd);
-  return s;
+  return status;
 }
 
 }  // namespace medlarwalk
--- a/src/base/disk_file.h
+++ b/src/base/disk_file.h
@@ -1,5 +1,5 @@
-// Files of a process's own data folder: what is written is durable when the
-// call returns, or the call says that it may not be.
+// Durable files in the data directory of a process. A write is durable when the
+// call returns Ok; after an error it may or may not be.
 #ifndef MEDLARWALK_DISK_FILE_H_
 #define MEDLARWALK_DISK_FILE_H_
 
@@ -12,28 +12,32 @@
 
 namespace medlarwalk {
 
-// Called before bytes go to the disk; an error stands for one of the disk.
-// May take as long as a slow disk does.
+// A hook called before bytes are written to disk, to simulate disk faults. Its
+// error is treated as a disk error. It may block as long as a slow disk does.
 using BeforeWrite = std::function<absl::Status()>;
 
-// The error that errno names, of `what`.
-absl::Status Errno(absl::string_view what);
+// Returns an Unavailable error with `operation` and the text of errno.
+absl::Status ErrnoStatus(absl::string_view operation);
 
-// Errors: NotFound where there is no file, else Unavailable.
+// Returns the content of the file at `path`. Errors: NotFound if there is no
+// file, otherwise Unavailable.
 absl::StatusOr<std::string> ReadFile(const std::string& path);
 
-// Writes `data` to `fd`, or half of it where `before_write` (may be empty)
-// fails. Errors: Unavailable.
+// Writes `data` to `fd` without syncing. `before_write` may be empty; if it
+// fails, only the first half of `data` is written and its error is returned.
+// Errors: Unavailable.
 absl::Status WriteAll(int fd, absl::string_view data,
                       const BeforeWrite& before_write);
 
-// Puts a file with `data`, synced, in the place of the one at `path`. Returns
-// it open for reading and writing; the caller closes it, and syncs the folder.
-// Errors: Unavailable; the old file then stays.
+// Atomically replaces the file at `path` with a synced file that holds `data`.
+// Returns the new file, open for reading and writing. The caller must close it
+// and sync the directory.
+// Errors: Unavailable; the old file then stays in place.
 absl::StatusOr<int> ReplaceFile(const std::string& path, absl::string_view data,
                                 const BeforeWrite& before_write);
 
-// Makes durable which names folder `dir` holds. Errors: Unavailable.
+// Syncs the directory `dir`, which makes file creations and renames in it
+// durable. Errors: Unavailable.
 absl::Status SyncDir(const std::string& dir);
 
 }  // namespace medlarwalk
--- a/src/base/json_numbers.h
+++ b/src/base/json_numbers.h
@@ -1,6 +1,6 @@
-// Whole numbers of a JSON or CBOR document from outside. The library converts
-// what is no whole number of the type asked for without a word: 1e48 to int is
-// undefined, -1 to unsigned is 18446744073709551615.
+// Range-checked conversion of integers in JSON or CBOR documents from outside.
+// nlohmann-json converts out-of-range values without an error: 1e48 to int is
+// undefined behavior, and -1 to unsigned gives 18446744073709551615.
 #ifndef MEDLARWALK_JSON_NUMBERS_H_
 #define MEDLARWALK_JSON_NUMBERS_H_
 
@@ -11,25 +11,26 @@
 
 namespace medlarwalk {
 
-// `j` as an Int; a fraction is cut off. Throws nlohmann::json::exception where
-// it is no number or beyond what an Int holds.
+// Returns `j` as an Int; a fraction is truncated. Throws
+// nlohmann::json::exception if `j` is not a number or is out of the range of
+// Int.
 template <typename Int>
 Int WholeNumber(const nlohmann::json& j) {
-  constexpr Int kLeast = std::numeric_limits<Int>::min();
-  constexpr Int kMost = std::numeric_limits<Int>::max();
+  constexpr Int kMin = std::numeric_limits<Int>::min();
+  constexpr Int kMax = std::numeric_limits<Int>::max();
   bool fits = false;
   if (j.is_number_unsigned()) {
-    fits = j.get<uint64_t>() <= static_cast<uint64_t>(kMost);
+    fits = j.get<uint64_t>() <= static_cast<uint64_t>(kMax);
   } else if (j.is_number_integer()) {
     int64_t n = j.get<int64_t>();
-    fits = n < 0 ? kLeast < 0 && n >= static_cast<int64_t>(kLeast)
-                 : static_cast<uint64_t>(n) <= static_cast<uint64_t>(kMost);
+    fits = n < 0 ? kMin < 0 && n >= static_cast<int64_t>(kMin)
+                 : static_cast<uint64_t>(n) <= static_cast<uint64_t>(kMax);
   } else if (j.is_number_float()) {
-    // The greatest Int may round up to a double that is beyond it.
+    // The maximum of Int may round up to a double that is out of range.
     double d = j.get<double>();
-    fits = d >= static_cast<double>(kLeast) && d < static_cast<double>(kMost);
+    fits = d >= static_cast<double>(kMin) && d < static_cast<double>(kMax);
   } else {
-    return j.get<Int>();  // Throws, naming the type.
+    return j.get<Int>();  // Throws an exception that names the type.
   }
   if (!fits) {
     throw nlohmann::json::other_error::create(501, "number out of range",
@@ -38,11 +39,12 @@
   return j.get<Int>();
 }
 
-// The member `name` of the object `j`, or `otherwise` where there is none.
+// Returns the member `name` of the object `j`, or `default_value` if there is
+// none. Throws like the function above.
 template <typename Int>
-Int WholeNumber(const nlohmann::json& j, const char* name, Int otherwise) {
+Int WholeNumber(const nlohmann::json& j, const char* name, Int default_value) {
   auto it = j.find(name);
-  return it == j.end() ? otherwise : WholeNumber<Int>(*it);
+  return it == j.end() ? default_value : WholeNumber<Int>(*it);
 }
 
 }  // namespace medlarwalk
--- a/src/base/packed.h
+++ b/src/base/packed.h
@@ -1,7 +1,7 @@
-// Configurations as they are kept and sent between our processes: compressed.
-// A document of 3,000 routes is hundreds of kilobytes of much the same text; an
-// entry behind 10 Mbit/s needs half a second of its link for it, which its
-// callers then lack.
+// Compression of configuration documents for storage and for messages between
+// our processes. A document of 3,000 routes has hundreds of kilobytes of
+// repetitive text. Uncompressed, it would occupy the 10 Mbit/s link of an entry
+// for half a second, and delay the requests of its callers.
 #ifndef MEDLARWALK_PACKED_H_
 #define MEDLARWALK_PACKED_H_
 
@@ -14,14 +14,15 @@
 
 namespace medlarwalk {
 
-// `text` compressed (zlib, RFC 1950). What begins as a compressed one would
-// must have been packed; JSON cannot.
+// Returns `text` compressed with zlib (RFC 1950). The first byte of the result
+// identifies it as compressed: no JSON text begins with this byte.
 Document Pack(absl::string_view text);
 
-// What was packed; what does not begin as a packed document is one as it
-// stands. Errors: InvalidArgument when it is damaged, or larger than `most`
-// bytes: a few bytes may stand for very many.
-absl::StatusOr<std::string> Unpack(absl::string_view packed, size_t most);
+// Returns the decompressed text of `packed`. A document that does not begin
+// like a compressed one is returned unchanged. Errors: InvalidArgument if
+// `packed` is damaged, or if the decompressed text is larger than `max_bytes`,
+// since a few bytes may expand to very many.
+absl::StatusOr<std::string> Unpack(absl::string_view packed, size_t max_bytes);
 
 }  // namespace medlarwalk
 
--- a/src/base/payload.cc
+++ b/src/base/payload.cc
@@ -5,59 +5,60 @@
 namespace medlarwalk {
 namespace {
 
-// What was taken is let go once it is this much and half of all: an erase at
-// each piece would move the rest of a large body each time.
-constexpr size_t kLetGoFrom = size_t{64} * 1024;
+// Removed bytes are erased from the string only when they are at least this
+// many and at least half of it. An erase after each read would move the rest of
+// a large body each time.
+constexpr size_t kMinErasedBytes = size_t{64} * 1024;
 
 }  // namespace
 
 void Payload::Append(absl::string_view bytes) {
-  if (before_own_.empty() && taken_ >= kLetGoFrom &&
-      taken_ >= own_.size() / 2) {
-    own_.erase(0, taken_);
-    taken_ = 0;
+  if (pieces_.empty() && front_offset_ >= kMinErasedBytes &&
+      front_offset_ >= tail_.size() / 2) {
+    tail_.erase(0, front_offset_);
+    front_offset_ = 0;
   }
-  own_.append(bytes.data(), bytes.size());
+  tail_.append(bytes.data(), bytes.size());
 }
 
 void Payload::Append(Document shared) {
   if (!shared || shared->empty()) return;
-  if (!own_.empty()) {
-    size_before_own_ += own_.size();
-    before_own_.push_back(std::make_shared<const std::string>(std::move(own_)));
-    own_.clear();
+  if (!tail_.empty()) {
+    pieces_size_ += tail_.size();
+    pieces_.push_back(std::make_shared<const std::string>(std::move(tail_)));
+    tail_.clear();
   }
-  size_before_own_ += shared->size();
-  before_own_.push_back(std::move(shared));
+  pieces_size_ += shared->size();
+  pieces_.push_back(std::move(shared));
 }
 
-absl::string_view Payload::Front() const {
-  const std::string& first = before_own_.empty() ? own_ : *before_own_.front();
-  return absl::string_view(first).substr(taken_);
+absl::string_view Payload::FrontPiece() const {
+  const std::string& first = pieces_.empty() ? tail_ : *pieces_.front();
+  return absl::string_view(first).substr(front_offset_);
 }
 
-size_t Payload::Take(uint8_t* to, size_t most) {
-  size_t n = 0;
-  while (n < most && !empty()) {
-    absl::string_view piece = Front().substr(0, most - n);
-    std::copy(piece.begin(), piece.end(), to + n);
-    n += piece.size();
-    taken_ += piece.size();
-    if (!before_own_.empty() && taken_ == before_own_.front()->size()) {
-      size_before_own_ -= taken_;
-      taken_ = 0;
-      before_own_.pop_front();
+size_t Payload::Take(uint8_t* to, size_t max_bytes) {
+  size_t count = 0;
+  while (count < max_bytes && !empty()) {
+    absl::string_view piece = FrontPiece().substr(0, max_bytes - count);
+    std::copy(piece.begin(), piece.end(), to + count);
+    count += piece.size();
+    front_offset_ += piece.size();
+    if (!pieces_.empty() && front_offset_ == pieces_.front()->size()) {
+      pieces_size_ -= front_offset_;
+      front_offset_ = 0;
+      pieces_.pop_front();
     }
   }
   if (empty()) *this = Payload();
-  return n;
+  return count;
 }
 
 std::string Payload::Rest() const {
   Payload copy = *this;
-  std::string out(size(), '\0');
-  copy.Take(reinterpret_cast<uint8_t*>(&out[0]), out.size());
-  return out;
+  std::string bytes(size(), '\0');
+  copy.Take(reinterpret_cast<uint8_t*>(&bytes[0]), bytes.size());
+  return bytes;
 }
 
 }  // namespace medlarwalk
--- a/src/base/payload.h
+++ b/src/base/payload.h
@@ -1,4 +1,5 @@
-// Bodies that wait to be sent: each byte is held once, whoever else sends it.
+// Message bodies that wait to be sent. Bodies sent to several receivers are
+// held in memory only once.
 #ifndef MEDLARWALK_PAYLOAD_H_
 #define MEDLARWALK_PAYLOAD_H_
 
@@ -12,39 +13,41 @@
 
 namespace medlarwalk {
 
-// A configuration as its operator sent it, or another body that many are sent.
-// Shared by all who hold or send it, never changed: kept by value, a large one
-// was held once for each watcher.
+// An immutable body that is sent to many receivers, such as a configuration. It
+// is shared between all holders, because a copy for each watcher of a large
+// configuration would cost too much memory.
 using Document = std::shared_ptr<const std::string>;
 
-// Bytes of one's own and bytes that others send as well, in any order; taken
-// from the front. Thread safety: none.
+// A byte queue of owned bytes and shared documents, in any order. Bytes are
+// removed at the front. Thread safety: none.
 class Payload {
  public:
   Payload() = default;
-  explicit Payload(std::string own) : own_(std::move(own)) {}
-  Payload(std::string own, Document shared) : own_(std::move(own)) {
+  explicit Payload(std::string owned) : tail_(std::move(owned)) {}
+  Payload(std::string owned, Document shared) : tail_(std::move(owned)) {
     Append(std::move(shared));
   }
 
-  size_t size() const { return size_before_own_ + own_.size() - taken_; }
+  size_t size() const { return pieces_size_ + tail_.size() - front_offset_; }
   bool empty() const { return size() == 0; }
   void Append(absl::string_view bytes);
-  // Null: nothing.
+  // Appends a shared document; null appends nothing.
   void Append(Document shared);
-  // Moves up to `most` bytes to `to`; returns how many.
-  size_t Take(uint8_t* to, size_t most);
-  // What has not been taken, as one string.
+  // Moves up to `max_bytes` bytes from the front to `to`. Returns their number.
+  size_t Take(uint8_t* to, size_t max_bytes);
+  // Returns a copy of the remaining bytes.
   std::string Rest() const;
 
  private:
-  // The next bytes that lie together.
-  absl::string_view Front() const;
-
-  std::deque<Document> before_own_;
-  size_t size_before_own_ = 0;
-  std::string own_;
-  size_t taken_ = 0;  // Of the first of these.
+  // Returns the next contiguous bytes.
+  absl::string_view FrontPiece() const;
+
+  std::deque<Document> pieces_;  // The bytes before `tail_`.
+  size_t pieces_size_ = 0;       // Total size of `pieces_`.
+  std::string tail_;             // Owned bytes at the end of the queue.
+  // Bytes already removed from the first piece, or from `tail_` if there is no
+  // piece.
+  size_t front_offset_ = 0;
 };
 
 }  // namespace medlarwalk
--- a/src/replica.cc
+++ b/src/replica.cc
@@ -8,21 +8,21 @@
 namespace medlarwalk {
 namespace {
 
-// A reply that is not back after this long is taken for lost and the entries
-// are sent again; above the round trip of a link that loses a packet.
+// Entries are sent again if no reply arrives within this time. Longer than the
+// round trip of a link that loses a packet.
 constexpr auto kResendAfter = Millis(500);
-// A voter that hears from no leader for this long asks around as well: it may
-// have been dropped from the group while it was cut off.
-constexpr auto kSeekAfter = Millis(1500);
-// After a snapshot that could not be written, the next one is tried this much
-// later.
-constexpr auto kCompactAgain = std::chrono::seconds(1);
-// Rounds whose sending time is kept; more than a link can hold under way.
-constexpr size_t kRoundsKept = 256;
-
-size_t BytesOf(const LogEntry& e) {
+// A voter without contact to a leader for this long sends join requests,
+// because it may have been removed from the group while it was partitioned.
+constexpr auto kRejoinAfter = Millis(1500);
+// Delay before the next compaction after a snapshot could not be written.
+constexpr auto kCompactionRetryDelay = std::chrono::seconds(1);
+// Number of rounds whose send time is stored. A link never has this many rounds
+// in flight.
+constexpr size_t kMaxRoundSentTimes = 256;
+
+size_t EntryBytes(const LogEntry& e) {
   size_t content = e.duty.content ? e.duty.content->size() : 0;
-  return (e.data ? e.data->size() : 0) + content + 64;
+  return (e.config ? e.config->size() : 0) + content + 64;
 }
 
 }  // namespace
@@ -41,31 +41,32 @@
       term_(state.term),
       voted_for_(state.voted_for),
       snapshot_(std::move(state.snapshot)),
-      proposals_(kMostProposed, [this](int64_t version, Document d, Done done) {
-        AppendProposal(version, std::move(d), std::move(done));
-      }) {
+      config_proposals_(kMaxUncommittedConfigBytes,
+                        [this](int64_t version, Document d, Done done) {
+                          AppendConfig(version, std::move(d), std::move(done));
+                        }) {
   for (LogEntry& e : state.log) {
-    log_bytes_ += BytesOf(e);
+    log_bytes_ += EntryBytes(e);
     log_.push_back(std::move(e));
   }
-  commit_ = applied_ = snapshot_.index;
+  commit_index_ = applied_index_ = snapshot_.index;
   config_version_ = snapshot_.version;
   config_ = snapshot_.config;
   duties_ = snapshot_.duties;
-  RefreshMembers();
-  first_wait_ = options_.first_election;
-  ResetElectionTimer(first_wait_);
+  ReloadMembersFromLog();
+  election_timeout_base_ = options_.first_election_timeout_min;
+  ResetElectionTimer(election_timeout_base_);
 }
 
-uint64_t Replica::LastIndex() const { return snapshot_.index + log_.size(); }
+uint64_t Replica::LastLogIndex() const { return snapshot_.index + log_.size(); }
 
-const LogEntry& Replica::At(uint64_t index) const {
+const LogEntry& Replica::EntryAt(uint64_t index) const {
   return log_[index - snapshot_.index - 1];
 }
 
 uint64_t Replica::TermAt(uint64_t index) const {
   if (index <= snapshot_.index) return snapshot_.term;
-  return index <= LastIndex() ? At(index).term : 0;
+  return index <= LastLogIndex() ? EntryAt(index).term : 0;
 }
 
 bool Replica::IsVoter(const std::string& id) const {
@@ -73,7 +74,7 @@
                      [&](const Member& m) { return m.id == id; });
 }
 
-void Replica::RefreshMembers() {
+void Replica::ReloadMembersFromLog() {
   members_ = snapshot_.members;
   members_index_ = snapshot_.index;
   for (const LogEntry& e : log_) {
@@ -83,7 +84,7 @@
   }
 }
 
-ReplicaMessage Replica::Make(ReplicaMessage::Type type) const {
+ReplicaMessage Replica::MakeMessage(ReplicaMessage::Type type) const {
   ReplicaMessage m;
   m.type = type;
   m.from = self_;
@@ -93,186 +94,191 @@
 
 std::optional<Member> Replica::Leader() const {
   if (!leader_) return std::nullopt;
-  if (LeaderAge() > options_.election_min) return std::nullopt;
+  if (LeaderAge() > options_.election_timeout_min) return std::nullopt;
   return leader_;
 }
 
 Duration Replica::LeaderAge() const {
   if (role_ == ReplicaRole::kLeader) {
-    if (commit_ < term_start_) return Duration::max();
-    return clock_.Now() - QuorumContact();
+    if (commit_index_ < term_start_index_) return Duration::max();
+    return clock_.Now() - QuorumContactTime();
   }
-  if (leader_heard_ == TimePoint{}) return Duration::max();
-  return clock_.Now() - leader_heard_;
+  if (leader_contact_at_ == TimePoint{}) return Duration::max();
+  return clock_.Now() - leader_contact_at_;
 }
 
 Duration Replica::StepAge() const {
   if (role_ == ReplicaRole::kLeader) return LeaderAge();
-  if (in_step_at_ == TimePoint{}) return Duration::max();
-  return clock_.Now() - in_step_at_;
+  if (up_to_date_at_ == TimePoint{}) return Duration::max();
+  return clock_.Now() - up_to_date_at_;
 }
 
-TimePoint Replica::QuorumContact() const {
-  // The send time of the newest round that each voter has answered: the
-  // quorum-th best of these is when this leader was surely in office.
-  std::vector<TimePoint> at;
+TimePoint Replica::QuorumContactTime() const {
+  // Each voter confirmed this leader no earlier than it was sent the newest
+  // round that it has answered. The quorum-th newest of these send times is the
+  // latest time at which a quorum is known to have followed this leader.
+  std::vector<TimePoint> contact_times;
   for (const Member& m : members_) {
     if (m.id == self_.id) {
-      at.push_back(clock_.Now());
+      contact_times.push_back(clock_.Now());
       continue;
     }
     auto it = peers_.find(m.id);
-    at.push_back(it == peers_.end() ? TimePoint{} : it->second.round_at);
+    contact_times.push_back(
+        it == peers_.end() ? TimePoint{} : it->second.acked_round_sent_at);
   }
-  if (at.empty()) return TimePoint{};
-  std::sort(at.rbegin(), at.rend());
-  return at[Quorum() - 1];
+  if (contact_times.empty()) return TimePoint{};
+  std::sort(contact_times.rbegin(), contact_times.rend());
+  return contact_times[QuorumSize() - 1];
 }
 
-uint64_t Replica::QuorumRound() const {
-  std::vector<uint64_t> r;
+uint64_t Replica::QuorumAckedRound() const {
+  std::vector<uint64_t> rounds;
   for (const Member& m : members_) {
     if (m.id == self_.id) {
-      r.push_back(round_);
+      rounds.push_back(round_);
       continue;
     }
     auto it = peers_.find(m.id);
-    r.push_back(it == peers_.end() ? 0 : it->second.round);
+    rounds.push_back(it == peers_.end() ? 0 : it->second.acked_round);
   }
-  if (r.empty()) return 0;
-  std::sort(r.rbegin(), r.rend());
-  return r[Quorum() - 1];
+  if (rounds.empty()) return 0;
+  std::sort(rounds.rbegin(), rounds.rend());
+  return rounds[QuorumSize() - 1];
 }
 
 void Replica::Tick() {
   TimePoint now = clock_.Now();
   if (role_ == ReplicaRole::kLeader) {
-    Lead();
+    TickLeader();
     return;
   }
-  bool silent = LeaderAge() > kSeekAfter;
-  if (!IsVoter(self_.id) || silent) SeekGroup();
+  bool silent = LeaderAge() > kRejoinAfter;
+  if (!IsVoter(self_.id) || silent) SendJoinRequest();
   if (!IsVoter(self_.id)) return;
-  if (now < election_at_ || now < disk_bad_until_) return;
+  if (now < election_deadline_ || now < disk_backoff_until_) return;
   StartElection(true);
 }
 
-bool Replica::AppendOwn(LogEntry e) {
-  e.index = LastIndex() + 1;
+bool Replica::AppendAsLeader(LogEntry e) {
+  e.index = LastLogIndex() + 1;
   e.term = term_;
-  absl::Status s = store_.Append({e});
-  if (!s.ok()) {
-    disk_bad_until_ = clock_.Now() + kDiskBackoff;
-    LogWarn("store_failed", {{"op", "append"}, {"error", s.message()}});
+  absl::Status status = store_.AppendEntries({e});
+  if (!status.ok()) {
+    disk_backoff_until_ = clock_.Now() + kDiskErrorBackoff;
+    LogWarn("store_failed", {{"op", "append"}, {"error", status.message()}});
     StepDown(term_, "store failed");
     return false;
   }
-  log_bytes_ += BytesOf(e);
+  log_bytes_ += EntryBytes(e);
   log_.push_back(std::move(e));
   if (log_.back().kind == EntryKind::kMembers) {
-    RefreshMembers();
+    ReloadMembersFromLog();
     LogEvent("members_changed",
-             {{"index", LastIndex()}, {"voters", members_.size()}});
+             {{"index", LastLogIndex()}, {"voters", members_.size()}});
   }
-  AdvanceCommit();
-  Broadcast();
+  AdvanceCommitIndex();
+  BroadcastRound();
   return true;
 }
 
-void Replica::Lead() {
+void Replica::TickLeader() {
   TimePoint now = clock_.Now();
-  if (members_.size() > 1 && now - QuorumContact() > options_.election_min) {
+  if (members_.size() > 1 &&
+      now - QuorumContactTime() > options_.election_timeout_min) {
     StepDown(term_, "no quorum");
     return;
   }
   ManageMembers();
   if (role_ != ReplicaRole::kLeader) return;
-  bool due = false;
-  for (auto& [id, p] : peers_) {
-    if (now - p.flight_at > kResendAfter) p.flight_last = 0;
-    if (now - p.sent_at >= options_.heartbeat) due = true;
+  bool heartbeat_due = false;
+  for (auto& [id, peer] : peers_) {
+    if (now - peer.in_flight_since > kResendAfter) peer.in_flight_through = 0;
+    if (now - peer.last_sent_at >= options_.heartbeat) heartbeat_due = true;
   }
-  if (due) Broadcast();
+  if (heartbeat_due) BroadcastRound();
 }
 
-TimePoint Replica::RoundSent(uint64_t round) const {
-  if (round > round_ || round_ - round >= round_sent_.size()) return {};
-  return round_sent_[round_sent_.size() - 1 - (round_ - round)];
+TimePoint Replica::RoundSentTime(uint64_t round) const {
+  if (round > round_ || round_ - round >= round_sent_times_.size()) return {};
+  return round_sent_times_[round_sent_times_.size() - 1 - (round_ - round)];
 }
 
-void Replica::Broadcast() {
+void Replica::BroadcastRound() {
   ++round_;
-  round_sent_.push_back(clock_.Now());
-  if (round_sent_.size() > kRoundsKept) round_sent_.pop_front();
-  for (auto& [id, p] : peers_) SendTo(p);
+  round_sent_times_.push_back(clock_.Now());
+  if (round_sent_times_.size() > kMaxRoundSentTimes)
+    round_sent_times_.pop_front();
+  for (auto& [id, peer] : peers_) ReplicateTo(peer);
 }
 
-void Replica::SendTo(Peer& p) {
-  p.sent_at = clock_.Now();
-  if (p.next <= snapshot_.index) {
-    ReplicaMessage m = Make(ReplicaMessage::Type::kInstall);
+void Replica::ReplicateTo(Peer& peer) {
+  peer.last_sent_at = clock_.Now();
+  if (peer.next_index <= snapshot_.index) {
+    ReplicaMessage m = MakeMessage(ReplicaMessage::Type::kInstallSnapshot);
     m.round = round_;
-    m.commit = commit_;
-    // While a snapshot is on its way only the round is sent.
-    if (p.flight_last == 0) {
+    m.commit_index = commit_index_;
+    // While a snapshot is in flight, send only the round.
+    if (peer.in_flight_through == 0) {
       m.snapshot = snapshot_;
-      p.flight_last = snapshot_.index;
-      p.flight_at = p.sent_at;
+      peer.in_flight_through = snapshot_.index;
+      peer.in_flight_since = peer.last_sent_at;
     }
-    hooks_.send(p.member, m);
+    hooks_.send(peer.member, m);
     return;
   }
-  ReplicaMessage m = Make(ReplicaMessage::Type::kAppend);
+  ReplicaMessage m = MakeMessage(ReplicaMessage::Type::kAppend);
   m.round = round_;
-  m.commit = commit_;
-  m.index = p.next - 1;
-  m.log_term = TermAt(p.next - 1);
-  if (p.flight_last == 0) {
+  m.commit_index = commit_index_;
+  m.index = peer.next_index - 1;
+  m.log_term = TermAt(peer.next_index - 1);
+  if (peer.in_flight_through == 0) {
     size_t bytes = 0;
-    for (uint64_t i = p.next; i <= LastIndex(); ++i) {
-      bytes += BytesOf(At(i));
+    for (uint64_t i = peer.next_index; i <= LastLogIndex(); ++i) {
+      bytes += EntryBytes(EntryAt(i));
       if (!m.entries.empty() && bytes > options_.batch_bytes) break;
-      m.entries.push_back(At(i));
+      m.entries.push_back(EntryAt(i));
     }
     if (!m.entries.empty()) {
-      p.flight_last = m.entries.back().index;
-      p.flight_at = p.sent_at;
+      peer.in_flight_through = m.entries.back().index;
+      peer.in_flight_since = peer.last_sent_at;
     }
   }
-  hooks_.send(p.member, m);
+  hooks_.send(peer.member, m);
 }
 
 void Replica::Propose(int64_t version, Document config, Done done) {
-  proposals_.Offer(version, std::move(config), std::move(done));
+  config_proposals_.Offer(version, std::move(config), std::move(done));
 }
 
-void Replica::AppendProposal(int64_t version, Document config, Done done) {
+void Replica::AppendConfig(int64_t version, Document config, Done done) {
   LogEntry e;
   e.kind = EntryKind::kConfig;
   e.version = version;
-  e.data = std::move(config);
-  AppendAwaited(std::move(e), std::move(done));
+  e.config = std::move(config);
+  AppendWithCallback(std::move(e), std::move(done));
 }
 
 void Replica::ProposeDuty(DutyRecord record, Done done) {
   LogEntry e;
   e.kind = EntryKind::kDuty;
   e.duty = std::move(record);
-  AppendAwaited(std::move(e), std::move(done));
+  AppendWithCallback(std::move(e), std::move(done));
 }
 
-// Appends an entry of this leader's; `done` once it is committed.
-void Replica::AppendAwaited(LogEntry e, Done done) {
+// Appends `e` as the leader and calls `done` after it is committed.
+// Errors: Unavailable if this replica is not the leader or loses leadership.
+void Replica::AppendWithCallback(LogEntry e, Done done) {
   if (role_ != ReplicaRole::kLeader) {
     done(absl::UnavailableError("not the leader"));
     return;
   }
   Waiter w;
-  w.index = LastIndex() + 1;
+  w.index = LastLogIndex() + 1;
   w.term = term_;
   w.done = std::move(done);
   waiters_.push_back(std::move(w));
-  if (AppendOwn(std::move(e))) SettleWaiters();
+  if (AppendAsLeader(std::move(e))) CompleteReadyWaiters();
 }
 
 void Replica::ReadBarrier(Done done) {
@@ -281,20 +287,20 @@
     return;
   }
   Waiter w;
-  w.index = std::max(commit_, term_start_);
+  w.index = std::max(commit_index_, term_start_index_);
   w.term = term_;
   w.round = round_ + 1;
   w.done = std::move(done);
   waiters_.push_back(std::move(w));
-  Broadcast();
-  SettleWaiters();
+  BroadcastRound();
+  CompleteReadyWaiters();
 }
 
-void Replica::SettleWaiters() {
-  uint64_t round = QuorumRound();
+void Replica::CompleteReadyWaiters() {
+  uint64_t acked_round = QuorumAckedRound();
   std::vector<Waiter> ready;
   for (auto it = waiters_.begin(); it != waiters_.end();) {
-    if (applied_ >= it->index && round >= it->round) {
+    if (applied_index_ >= it->index && acked_round >= it->round) {
       ready.push_back(std::move(*it));
       it = waiters_.erase(it);
     } else {
@@ -304,7 +310,7 @@
   for (Waiter& w : ready) w.done(absl::OkStatus());
 }
 
-void Replica::FailWaiters() {
+void Replica::FailAllWaiters() {
   std::vector<Waiter> all = std::move(waiters_);
   waiters_.clear();
   for (Waiter& w : all) w.done(absl::UnavailableError("leadership lost"));
@@ -313,151 +319,155 @@
 std::optional<ReplicaMessage> Replica::Handle(const ReplicaMessage& m) {
   using T = ReplicaMessage::Type;
   switch (m.type) {
-    case T::kVote:
-      return OnVote(m);
+    case T::kVoteRequest:
+      return HandleVoteRequest(m);
     case T::kAppend:
-      return OnAppend(m);
-    case T::kInstall:
-      return OnInstall(m);
+      return HandleAppend(m);
+    case T::kInstallSnapshot:
+      return HandleInstallSnapshot(m);
     case T::kJoin:
-      return OnJoin(m);
+      return HandleJoinRequest(m);
     case T::kVoteReply:
-      OnVoteReply(m);
+      HandleVoteReply(m);
       return std::nullopt;
     case T::kAppendReply:
-      OnAppendReply(m);
+      HandleAppendReply(m);
       return std::nullopt;
     case T::kJoinReply:
-      OnJoinReply(m);
+      HandleJoinReply(m);
       return std::nullopt;
   }
   return std::nullopt;
 }
 
-void Replica::HeardLeader(const Member& m) {
-  bool changed = !leader_ || !(*leader_ == m);
-  leader_ = m;
-  leader_heard_ = clock_.Now();
+void Replica::RecordLeaderContact(const Member& leader) {
+  bool changed = !leader_ || !(*leader_ == leader);
+  leader_ = leader;
+  leader_contact_at_ = clock_.Now();
   ResetElectionTimer();
   if (changed) {
-    LogEvent("leader_known", {{"term", term_}, {"leader", m.address}});
+    LogEvent("leader_known", {{"term", term_}, {"leader", leader.address}});
     if (hooks_.on_change) hooks_.on_change();
   }
 }
 
-// Whether `m` comes from the leader of this replica's term, which it then
-// follows; `r` is its reply so far.
-bool Replica::Follow(const ReplicaMessage& m, ReplicaMessage* r) {
-  r->round = m.round;
+// Returns whether `m` comes from the leader of the current term, and adopts its
+// term if that is newer. Records the contact and fills in round and term of
+// `reply`.
+bool Replica::AcceptLeader(const ReplicaMessage& m, ReplicaMessage* reply) {
+  reply->round = m.round;
   if (m.term < term_) return false;
   if (m.term > term_ || role_ != ReplicaRole::kFollower) {
     StepDown(m.term, "another leader");
   }
-  r->term = term_;
+  reply->term = term_;
   if (m.term != term_) return false;
-  HeardLeader(m.from);
+  RecordLeaderContact(m.from);
   return true;
 }
 
-// A leader that has committed an entry of its own term knows all that was
-// ever committed; a follower that has applied as much is in step with it.
-void Replica::NoteStep(const ReplicaMessage& m) {
-  if (commit_ >= m.commit && TermAt(m.commit) == m.term) {
-    in_step_at_ = clock_.Now();
+// Records that this follower is up to date, if it is. A leader that has
+// committed an entry of its own term knows every committed entry, so a follower
+// that has committed as much is up to date.
+void Replica::RecordIfUpToDate(const ReplicaMessage& m) {
+  if (commit_index_ >= m.commit_index && TermAt(m.commit_index) == m.term) {
+    up_to_date_at_ = clock_.Now();
   }
 }
 
-ReplicaMessage Replica::OnAppend(const ReplicaMessage& m) {
-  ReplicaMessage r = Make(ReplicaMessage::Type::kAppendReply);
-  if (!Follow(m, &r)) return r;
-  r.index = LastIndex();
-  if (m.index > LastIndex() ||
+ReplicaMessage Replica::HandleAppend(const ReplicaMessage& m) {
+  ReplicaMessage reply = MakeMessage(ReplicaMessage::Type::kAppendReply);
+  if (!AcceptLeader(m, &reply)) return reply;
+  reply.index = LastLogIndex();
+  if (m.index > LastLogIndex() ||
       (m.index > snapshot_.index && TermAt(m.index) != m.log_term)) {
-    // Where to go on from: the last entry that may still agree.
-    r.index = std::min(LastIndex(), m.index > 0 ? m.index - 1 : 0);
-    return r;
+    // Tell the leader the last index that may still match.
+    reply.index = std::min(LastLogIndex(), m.index > 0 ? m.index - 1 : 0);
+    return reply;
   }
-  std::vector<LogEntry> fresh;
+  std::vector<LogEntry> new_entries;
   for (const LogEntry& e : m.entries) {
     if (e.index <= snapshot_.index) continue;
-    if (fresh.empty() && e.index <= LastIndex()) {
+    if (new_entries.empty() && e.index <= LastLogIndex()) {
       if (TermAt(e.index) == e.term) continue;
-      absl::Status s = store_.Truncate(e.index);
-      if (!s.ok()) {
-        LogWarn("store_failed", {{"op", "truncate"}, {"error", s.message()}});
-        return r;
+      absl::Status status = store_.TruncateFrom(e.index);
+      if (!status.ok()) {
+        LogWarn("store_failed",
+                {{"op", "truncate"}, {"error", status.message()}});
+        return reply;
       }
-      while (LastIndex() >= e.index) {
-        log_bytes_ -= BytesOf(log_.back());
+      while (LastLogIndex() >= e.index) {
+        log_bytes_ -= EntryBytes(log_.back());
         log_.pop_back();
       }
-      RefreshMembers();
+      ReloadMembersFromLog();
     }
-    fresh.push_back(e);
-  }
-  if (!fresh.empty()) {
-    absl::Status s = store_.Append(fresh);
-    if (!s.ok()) {
-      disk_bad_until_ = clock_.Now() + kDiskBackoff;
-      LogWarn("store_failed", {{"op", "append"}, {"error", s.message()}});
-      return r;
+    new_entries.push_back(e);
+  }
+  if (!new_entries.empty()) {
+    absl::Status status = store_.AppendEntries(new_entries);
+    if (!status.ok()) {
+      disk_backoff_until_ = clock_.Now() + kDiskErrorBackoff;
+      LogWarn("store_failed", {{"op", "append"}, {"error", status.message()}});
+      return reply;
     }
-    for (LogEntry& e : fresh) {
-      log_bytes_ += BytesOf(e);
+    for (LogEntry& e : new_entries) {
+      log_bytes_ += EntryBytes(e);
       log_.push_back(std::move(e));
     }
-    RefreshMembers();
+    ReloadMembersFromLog();
   }
-  r.ok = true;
-  r.index = m.index + m.entries.size();
-  if (m.commit > commit_) {
-    commit_ = std::min(m.commit, std::max(r.index, commit_));
-    Apply(commit_);
-    MaybeCompact();
+  reply.ok = true;
+  reply.index = m.index + m.entries.size();
+  if (m.commit_index > commit_index_) {
+    commit_index_ =
+        std::min(m.commit_index, std::max(reply.index, commit_index_));
+    ApplyThrough(commit_index_);
+    MaybeCompactLog();
   }
-  NoteStep(m);
-  return r;
+  RecordIfUpToDate(m);
+  return reply;
 }
 
-ReplicaMessage Replica::OnInstall(const ReplicaMessage& m) {
-  ReplicaMessage r = Make(ReplicaMessage::Type::kAppendReply);
-  if (!Follow(m, &r)) return r;
+ReplicaMessage Replica::HandleInstallSnapshot(const ReplicaMessage& m) {
+  ReplicaMessage reply = MakeMessage(ReplicaMessage::Type::kAppendReply);
+  if (!AcceptLeader(m, &reply)) return reply;
   if (!m.snapshot) {
-    r.index = commit_;
-    return r;
-  }
-  if (m.snapshot->index > commit_) {
-    StoredState st;
-    st.self = self_;
-    st.term = term_;
-    st.voted_for = voted_for_;
-    st.snapshot = *m.snapshot;
-    absl::Status s = store_.Rewrite(st);
-    if (!s.ok()) {
-      disk_bad_until_ = clock_.Now() + kDiskBackoff;
-      LogWarn("store_failed", {{"op", "install"}, {"error", s.message()}});
-      return r;
+    reply.index = commit_index_;
+    return reply;
+  }
+  if (m.snapshot->index > commit_index_) {
+    StoredState state;
+    state.self = self_;
+    state.term = term_;
+    state.voted_for = voted_for_;
+    state.snapshot = *m.snapshot;
+    absl::Status status = store_.Rewrite(state);
+    if (!status.ok()) {
+      disk_backoff_until_ = clock_.Now() + kDiskErrorBackoff;
+      LogWarn("store_failed", {{"op", "install"}, {"error", status.message()}});
+      return reply;
     }
     snapshot_ = *m.snapshot;
     log_.clear();
     log_bytes_ = 0;
-    applied_bytes_ = 0;
-    commit_ = applied_ = snapshot_.index;
+    applied_log_bytes_ = 0;
+    commit_index_ = applied_index_ = snapshot_.index;
     duties_ = snapshot_.duties;
-    RefreshMembers();
+    ReloadMembersFromLog();
     if (snapshot_.version > config_version_) {
       config_version_ = snapshot_.version;
       config_ = snapshot_.config;
       if (hooks_.on_config) hooks_.on_config(config_version_, config_);
     }
   }
-  r.ok = true;
-  r.index = std::max(commit_, m.snapshot->index);
-  NoteStep(m);
-  return r;
+  reply.ok = true;
+  reply.index = std::max(commit_index_, m.snapshot->index);
+  RecordIfUpToDate(m);
+  return reply;
 }
 
-void Replica::OnAppendReply(const ReplicaMessage& m) {
+void Replica::HandleAppendReply(const ReplicaMessage& m) {
   if (m.term > term_) {
     StepDown(m.term, "newer term");
     return;
@@ -465,105 +475,107 @@
   if (role_ != ReplicaRole::kLeader || m.term != term_) return;
   auto it = peers_.find(m.from.id);
   if (it == peers_.end()) return;
-  Peer& p = it->second;
-  p.heard = clock_.Now();
-  if (m.round > p.round) {
-    p.round = m.round;
-    p.round_at = RoundSent(m.round);
+  Peer& peer = it->second;
+  peer.last_reply_at = clock_.Now();
+  if (m.round > peer.acked_round) {
+    peer.acked_round = m.round;
+    peer.acked_round_sent_at = RoundSentTime(m.round);
   }
   if (m.ok) {
-    p.match = std::max(p.match, m.index);
-    p.next = p.match + 1;
-    if (p.match >= p.flight_last) p.flight_last = 0;
-    AdvanceCommit();
-    bool behind = role_ == ReplicaRole::kLeader && p.next <= LastIndex();
-    if (behind && p.flight_last == 0) SendTo(p);
-  } else if (uint64_t next = std::max(m.index, p.match) + 1; next < p.next) {
-    // It lacks what comes before what was sent to it.
-    p.next = next;
-    p.flight_last = 0;
-    SendTo(p);
-  }
-  SettleWaiters();
-}
-
-void Replica::AdvanceCommit() {
-  std::vector<uint64_t> match;
+    peer.match_index = std::max(peer.match_index, m.index);
+    peer.next_index = peer.match_index + 1;
+    if (peer.match_index >= peer.in_flight_through) peer.in_flight_through = 0;
+    AdvanceCommitIndex();
+    bool behind =
+        role_ == ReplicaRole::kLeader && peer.next_index <= LastLogIndex();
+    if (behind && peer.in_flight_through == 0) ReplicateTo(peer);
+  } else if (uint64_t next_index = std::max(m.index, peer.match_index) + 1;
+             next_index < peer.next_index) {
+    // The peer lacks entries before the ones sent to it.
+    peer.next_index = next_index;
+    peer.in_flight_through = 0;
+    ReplicateTo(peer);
+  }
+  CompleteReadyWaiters();
+}
+
+void Replica::AdvanceCommitIndex() {
+  std::vector<uint64_t> match_indexes;
   for (const Member& m : members_) {
     if (m.id == self_.id) {
-      match.push_back(LastIndex());
+      match_indexes.push_back(LastLogIndex());
       continue;
     }
     auto it = peers_.find(m.id);
-    match.push_back(it == peers_.end() ? 0 : it->second.match);
-  }
-  if (match.empty()) return;
-  std::sort(match.rbegin(), match.rend());
-  uint64_t n = match[Quorum() - 1];
-  // Only entries of its own term are committed by counting; older ones with
-  // them.
-  if (n <= commit_ || TermAt(n) != term_) return;
-  commit_ = n;
-  Apply(commit_);
-  MaybeCompact();
-  SettleWaiters();
-  if (!IsVoter(self_.id) && members_index_ <= commit_) {
+    match_indexes.push_back(it == peers_.end() ? 0 : it->second.match_index);
+  }
+  if (match_indexes.empty()) return;
+  std::sort(match_indexes.rbegin(), match_indexes.rend());
+  uint64_t quorum_index = match_indexes[QuorumSize() - 1];
+  // A leader commits only entries of its own term by counting replicas. Entries
+  // of earlier terms are committed together with a later one.
+  if (quorum_index <= commit_index_ || TermAt(quorum_index) != term_) return;
+  commit_index_ = quorum_index;
+  ApplyThrough(commit_index_);
+  MaybeCompactLog();
+  CompleteReadyWaiters();
+  if (!IsVoter(self_.id) && members_index_ <= commit_index_) {
     StepDown(term_, "left the group");
     return;
   }
-  Broadcast();
+  BroadcastRound();
 }
 
-void Replica::Apply(uint64_t to) {
-  while (applied_ < to) {
-    const LogEntry& e = At(++applied_);
-    applied_bytes_ += BytesOf(e);
+void Replica::ApplyThrough(uint64_t index) {
+  while (applied_index_ < index) {
+    const LogEntry& e = EntryAt(++applied_index_);
+    applied_log_bytes_ += EntryBytes(e);
     if (e.kind == EntryKind::kDuty) duties_.Apply(e.duty);
     if (e.kind != EntryKind::kConfig || e.version <= config_version_) continue;
     config_version_ = e.version;
-    config_ = e.data;
+    config_ = e.config;
     if (hooks_.on_config) hooks_.on_config(config_version_, config_);
   }
 }
 
-void Replica::MaybeCompact() {
-  // Folding writes the newest document anew: by then twice as much has gone
-  // into the log, so that writing it whole stays the smaller part.
-  size_t enough =
+void Replica::MaybeCompactLog() {
+  // A snapshot writes the newest configuration again. Compacting only after
+  // twice its size was logged keeps snapshots the smaller part of all writes.
+  size_t min_bytes =
       std::max(options_.compact_bytes, 2 * (config_ ? config_->size() : 0));
-  if (applied_ - snapshot_.index < options_.compact_entries &&
-      applied_bytes_ < enough) {
+  if (applied_index_ - snapshot_.index < options_.compact_entries &&
+      applied_log_bytes_ < min_bytes) {
     return;
   }
-  if (clock_.Now() < compact_from_) return;
-  StoredState st;
-  st.self = self_;
-  st.term = term_;
-  st.voted_for = voted_for_;
-  st.snapshot.index = applied_;
-  st.snapshot.term = TermAt(applied_);
-  st.snapshot.version = config_version_;
-  st.snapshot.config = config_;
-  st.snapshot.duties = duties_;
-  st.snapshot.members = snapshot_.members;
+  if (clock_.Now() < compact_not_before_) return;
+  StoredState state;
+  state.self = self_;
+  state.term = term_;
+  state.voted_for = voted_for_;
+  state.snapshot.index = applied_index_;
+  state.snapshot.term = TermAt(applied_index_);
+  state.snapshot.version = config_version_;
+  state.snapshot.config = config_;
+  state.snapshot.duties = duties_;
+  state.snapshot.members = snapshot_.members;
   for (const LogEntry& e : log_) {
-    if (e.index <= applied_) {
-      if (e.kind == EntryKind::kMembers) st.snapshot.members = e.members;
+    if (e.index <= applied_index_) {
+      if (e.kind == EntryKind::kMembers) state.snapshot.members = e.members;
     } else {
-      st.log.push_back(e);
+      state.log.push_back(e);
     }
   }
-  absl::Status s = store_.Rewrite(st);
-  if (!s.ok()) {
-    LogWarn("store_failed", {{"op", "compact"}, {"error", s.message()}});
-    // A store that is slow or full must not be asked again at each entry.
-    compact_from_ = clock_.Now() + kCompactAgain;
+  absl::Status status = store_.Rewrite(state);
+  if (!status.ok()) {
+    LogWarn("store_failed", {{"op", "compact"}, {"error", status.message()}});
+    // Do not retry at each entry: the disk may be slow or full.
+    compact_not_before_ = clock_.Now() + kCompactionRetryDelay;
     return;
   }
-  snapshot_ = std::move(st.snapshot);
-  log_.assign(st.log.begin(), st.log.end());
-  log_bytes_ -= applied_bytes_;
-  applied_bytes_ = 0;
+  snapshot_ = std::move(state.snapshot);
+  log_.assign(state.log.begin(), state.log.end());
+  log_bytes_ -= applied_log_bytes_;
+  applied_log_bytes_ = 0;
 }
 
 }  // namespace medlarwalk
--- a/src/replica.h
+++ b/src/replica.h
@@ -1,8 +1,9 @@
-// Consensus among the control hosts: a replicated log of configurations, of
-// what is fixed of duties, and of the group's own membership. Terms, pre-vote,
-// quorum commit, leader check of its quorum, read barriers, single-step
-// membership change. Pure: messages in, messages out; the store and the clock
-// are passed in, so tests drive whole groups by hand.
+// Raft-like consensus among the control hosts. The replicated log holds
+// configurations, duty records and changes of the group's own membership.
+// Implements terms, pre-vote, quorum commit, a leader that steps down without
+// a quorum, read barriers and membership changes of one member at a time.
+// The code is pure: messages in, messages out. The store and the clock are
+// passed in, so that tests can drive whole groups deterministically.
 #ifndef MEDLARWALK_REPLICA_H_
 #define MEDLARWALK_REPLICA_H_
 
@@ -24,8 +25,8 @@
 
 namespace medlarwalk {
 
-// One control process. The id is drawn anew for each empty store, so that a
-// host that lost its disk cannot vote on a past it no longer knows.
+// One control process. An empty store gets a new random id, so that a host that
+// lost its disk cannot vote under its old identity without its old log.
 struct Member {
   std::string id;
   std::string address;  // "ip:port" for messages between control processes.
@@ -40,23 +41,23 @@
   uint64_t index = 0;
   uint64_t term = 0;
   EntryKind kind = EntryKind::kNoop;
-  Document data;                // kConfig: packed, never null there.
-  int64_t version = 0;          // kConfig: its version.
-  std::vector<Member> members;  // kMembers.
-  DutyRecord duty;              // kDuty.
+  Document config;      // kConfig only: the compressed document; never null.
+  int64_t version = 0;  // kConfig only: version of `config`.
+  std::vector<Member> members;  // kMembers only: the new voters.
+  DutyRecord duty;              // kDuty only.
 };
 
-// Everything up to and including `index`, folded together.
+// The state after applying every log entry up to and including `index`.
 struct Snapshot {
   uint64_t index = 0;
   uint64_t term = 0;
   std::vector<Member> members;
   int64_t version = 0;
-  Document config;  // Null: none yet.
+  Document config;  // Null if no configuration has been committed.
   DutyLog duties;
 };
 
-// What a replica keeps on its disk.
+// The durable state of a replica.
 struct StoredState {
   Member self;
   uint64_t term = 0;
@@ -65,105 +66,118 @@
   std::vector<LogEntry> log;
 };
 
-// Durable storage of one replica. Each call returns only once its change is
-// synced; an error means that the change may or may not be on the disk.
+// Durable storage of one replica. Each call returns after its change is synced
+// to disk. After an error, the change may or may not be on disk.
 class ReplicaStore {
  public:
   virtual ~ReplicaStore() = default;
-  virtual absl::Status SaveVote(uint64_t term,
-                                const std::string& voted_for) = 0;
-  virtual absl::Status Append(const std::vector<LogEntry>& entries) = 0;
-  // Drops every entry from `index` on.
-  virtual absl::Status Truncate(uint64_t index) = 0;
-  // Replaces everything by `state`.
+  virtual absl::Status SaveTermAndVote(uint64_t term,
+                                       const std::string& voted_for) = 0;
+  virtual absl::Status AppendEntries(const std::vector<LogEntry>& entries) = 0;
+  // Removes the entry at `index` and all later entries.
+  virtual absl::Status TruncateFrom(uint64_t index) = 0;
+  // Replaces the whole stored state with `state`.
   virtual absl::Status Rewrite(const StoredState& state) = 0;
 };
 
 // A message between control processes.
 struct ReplicaMessage {
   enum class Type {
-    kVote,
+    kVoteRequest,
     kVoteReply,
     kAppend,
     kAppendReply,
-    kInstall,  // A whole snapshot; answered by kAppendReply.
+    kInstallSnapshot,  // Carries a whole snapshot; answered by kAppendReply.
     kJoin,
     kJoinReply,
   };
-  Type type = Type::kVote;
+  Type type = Type::kVoteRequest;
   Member from;
   uint64_t term = 0;
   bool pre_vote = false;
   bool ok = false;
-  uint64_t index = 0;  // Vote: last index. Append: previous. Reply: match.
-  uint64_t log_term = 0;
-  uint64_t commit = 0;
-  uint64_t round = 0;  // Echoed in the reply; proves contact after a moment.
+  // kVoteRequest: last log index of the candidate. kAppend: index of the entry
+  // before `entries`. kAppendReply: last matching index if `ok`, else the
+  // last index that may still match.
+  uint64_t index = 0;
+  uint64_t log_term = 0;      // Term of the log entry at `index`.
+  uint64_t commit_index = 0;  // Commit index of the leader.
+  // Broadcast round of the leader, echoed in the reply. A reply proves that the
+  // peer was in contact after the leader sent that round.
+  uint64_t round = 0;
   std::vector<LogEntry> entries;
   std::optional<Snapshot> snapshot;
-  std::vector<Member> members;  // Join reply: who to ask.
+  std::vector<Member> members;  // kJoinReply: the members to ask next.
 };
 
 struct ReplicaOptions {
-  // Appends that carry nothing go out this often.
+  // Interval between heartbeats, which are appends without entries.
   Duration heartbeat = Millis(100);
-  // A follower that hears nothing for a time drawn from [min, 2 x min] asks
-  // for votes; a leader without its quorum for min steps down.
-  Duration election_min = Millis(600);
-  // The first wait after a start is drawn from [this, 2 x this]: no leader can
-  // be known yet, and where all were stopped at once nobody else will begin.
-  Duration first_election = Millis(50);
-  // A joiner takes the place of a voter silent for this long.
+  // A follower starts an election if it receives nothing from a leader for a
+  // random time in [min, 2 x min]. A leader steps down after min without
+  // contact with a quorum.
+  Duration election_timeout_min = Millis(600);
+  // The first election timeout after a start is a random time in
+  // [this, 2 x this]. It is short because no leader is known yet, and after a
+  // stop of all replicas no other replica starts an election earlier.
+  Duration first_election_timeout_min = Millis(50);
+  // A caught-up learner may replace a voter that has been silent for this long.
   Duration replace_silent_after = Millis(1500);
-  // A voter silent for this long is dropped while enough others remain, so
-  // that hosts gone for good do not raise the quorum.
+  // A voter that has been silent for this long is removed if enough voters
+  // remain, so that permanently lost hosts do not raise the quorum size.
   Duration drop_silent_after = std::chrono::seconds(6);
-  // Hosts that may be lost at once; 2 x this + 1 voters are always kept.
+  // Number of hosts that may fail at the same time. A silent voter is removed
+  // only if 2 x this + 1 voters remain or if a learner replaces it.
   int tolerate = 1;
   int max_voters = 7;
-  // The log is folded into a snapshot past this many entries or bytes.
+  // The log is compacted into a snapshot once this many entries or bytes have
+  // been applied.
   size_t compact_entries = 64;
   size_t compact_bytes = 1 << 20;
-  // Most entry bytes in one message.
+  // Maximum bytes of entries in one message; a single entry may exceed it.
   size_t batch_bytes = size_t{512} * 1024;
 };
 
 enum class ReplicaRole { kFollower, kCandidate, kLeader };
 
-// One replica of the group. Thread safety: loop thread only.
+// One replica of the consensus group. Thread safety: loop thread only.
 class Replica {
  public:
   struct Hooks {
-    // Sends without waiting; losing the message is fine.
+    // Sends a message without blocking. Messages may be lost.
     std::function<void(const Member& to, const ReplicaMessage&)> send;
-    // The committed configuration has changed.
+    // Called when a newer configuration has been committed and applied.
     std::function<void(int64_t version, const Document& config)> on_config;
-    // The role, term or known leader has changed.
+    // Called when leadership is gained or lost or the known leader changes.
     std::function<void()> on_change;
   };
 
-  // `state` is what the store holds. `seeds` are asked for the group when the
-  // replica is not, or no longer, one of its voters.
+  // `state` is the content of `store`. `seeds` are addresses of control
+  // processes. A replica that is not a voter, or that has lost contact with the
+  // leader, sends join requests to them.
   Replica(const Clock& clock, ReplicaOptions options, ReplicaStore& store,
           StoredState state, std::vector<std::string> seeds, Hooks hooks,
           uint64_t random_seed);
 
-  // Drives time-outs; called every few tens of milliseconds.
+  // Processes timeouts. Must be called every few tens of milliseconds.
   void Tick();
-  // Handles a message, returning the reply if it asks for one.
+  // Handles a message. Returns the reply if `m` is a request.
   std::optional<ReplicaMessage> Handle(const ReplicaMessage& m);
 
-  // Appends a configuration. `done` is called with Ok once it, or a higher
-  // version that overtook it, is committed, or Unavailable when leadership is
-  // lost first (it may still commit).
-  // Errors: Unavailable when this replica is not a leader in office.
+  // Proposes a configuration. Calls `done` with Ok after this version or a
+  // higher version that replaced it is committed.
+  // Errors: Unavailable if this replica is not the leader, or if it loses
+  // leadership before the commit (the entry may still be committed later).
   using Done = std::function<void(absl::Status)>;
   void Propose(int64_t version, Document config, Done done);
-  // The same for what is to be sent on a duty. What was committed under its
-  // number before stands: see duties() once `done` is called.
+  // Proposes a duty record; `done` is called as for Propose(). A record already
+  // committed with the same or a higher number stays in force, so callers must
+  // read duties() after `done` is called.
   void ProposeDuty(DutyRecord record, Done done);
-  // Calls `done` with Ok once a quorum has confirmed, after this call, that
-  // this replica still leads and all committed before is applied here.
+  // Calls `done` with Ok after a quorum has confirmed, later than this call,
+  // that this replica is still the leader, and all entries committed before the
+  // call are applied here.
+  // Errors: Unavailable if this replica is not the leader or loses leadership.
   void ReadBarrier(Done done);
 
   void set_seeds(std::vector<std::string> seeds) { seeds_ = std::move(seeds); }
@@ -171,99 +185,107 @@
   ReplicaRole role() const { return role_; }
   uint64_t term() const { return term_; }
   const Member& self() const { return self_; }
-  // The leader, if one was heard within the election time-out (or is self and
-  // has its quorum).
+  // Returns the leader if this replica received a message from it within
+  // election_timeout_min. Returns self if this replica leads and had contact
+  // with a quorum within that time.
   std::optional<Member> Leader() const;
-  // Time since a leader was last heard, or since this one last had its quorum.
+  // Returns the time since the last message from a leader. On the leader,
+  // returns the time since it last had contact with a quorum.
   Duration LeaderAge() const;
-  // Time since this replica was last sure to have applied all that a leader
-  // in office had committed: what it holds may be told to those that start.
+  // Returns the time since this replica last knew that it had applied
+  // everything its leader had committed. If it is short, the state may be
+  // published to processes that start.
   Duration StepAge() const;
   int64_t config_version() const { return config_version_; }
-  // The newest committed configuration, packed; null when there is none yet.
+  // The newest committed configuration, compressed. Null if there is none.
   const Document& config() const { return config_; }
   const std::vector<Member>& members() const { return members_; }
-  // What is committed of duties.
+  // The committed duty records.
   const DutyLog& duties() const { return duties_; }
-  // Entries kept beside the snapshot, and their bytes in memory.
+  // Number of log entries after the snapshot, and their bytes in memory.
   size_t log_entries() const { return log_.size(); }
   size_t log_bytes() const { return log_bytes_; }
 
  private:
-  // A leader whose disk refused a write does not stand for election again for
-  // this long: others, whose disks work, should lead.
-  static constexpr auto kDiskBackoff = std::chrono::seconds(5);
-  // Bytes proposed and not committed: what a link of 100 Mbit/s takes to six
-  // other members in half a second.
-  static constexpr size_t kMostProposed = size_t{1} << 20;
+  // After a failed disk write, a replica starts no election for this long, so
+  // that a replica with a working disk becomes leader.
+  static constexpr auto kDiskErrorBackoff = std::chrono::seconds(5);
+  // Limit on bytes of proposed but uncommitted configurations. A 100 Mbit/s
+  // link sends this much to six other members in half a second.
+  static constexpr size_t kMaxUncommittedConfigBytes = size_t{1} << 20;
 
+  // What the leader knows about another member or a learner.
   struct Peer {
     Member member;
-    uint64_t next = 1;
-    uint64_t match = 0;
-    TimePoint heard{};     // Last reply.
-    uint64_t round = 0;    // Highest round answered.
-    TimePoint round_at{};  // When that round was sent.
-    TimePoint sent_at{};   // Last message of any kind.
-    // The last index of the entries, or of the snapshot, under way; 0: none.
-    // Only a reply that tells it arrived, or kResendAfter, frees the way for
-    // more: heartbeats overtake large entries, and their replies say nothing of
-    // these.
-    uint64_t flight_last = 0;
-    TimePoint flight_at{};
-    bool learner = false;
+    uint64_t next_index = 1;   // Index of the next entry to send.
+    uint64_t match_index = 0;  // Highest index known to be in the peer's log.
+    TimePoint last_reply_at{};
+    uint64_t acked_round = 0;  // Highest round that the peer has answered.
+    TimePoint acked_round_sent_at{};
+    TimePoint last_sent_at{};  // Send time of the last message of any type.
+    // Last index of the entries or the snapshot in flight; 0 if none is in
+    // flight. No more entries are sent until a reply confirms this index or
+    // kResendAfter has passed. Heartbeats overtake large entries, so a reply to
+    // a heartbeat does not show whether the entries arrived.
+    uint64_t in_flight_through = 0;
+    TimePoint in_flight_since{};
+    bool learner = false;  // Receives the log but is not a voter.
   };
+  // A callback that waits for a proposal or a read barrier.
   struct Waiter {
-    uint64_t index = 0;  // Proposal: waits for this index.
+    uint64_t index = 0;  // Completes after this index is applied.
     uint64_t term = 0;
-    uint64_t round = 0;  // Barrier: waits for this round.
+    uint64_t round = 0;  // Barrier only: a quorum must answer this round.
     Done done;
   };
 
-  void AppendProposal(int64_t version, Document config, Done done);
-  void AppendAwaited(LogEntry e, Done done);
-  void StepDown(uint64_t term, absl::string_view why);
-  bool SetTerm(uint64_t term, const std::string& vote);
+  void AppendConfig(int64_t version, Document config, Done done);
+  void AppendWithCallback(LogEntry e, Done done);
+  void StepDown(uint64_t term, absl::string_view reason);
+  bool SetTermAndVote(uint64_t term, const std::string& voted_for);
   void StartElection(bool pre_vote);
-  void CountVote(const std::string& id);
+  void CountVote(const std::string& voter_id);
   void BecomeLeader();
-  void Lead();
+  void TickLeader();
   void ManageMembers();
   bool ProposeMembers(std::vector<Member> members);
-  bool AppendOwn(LogEntry e);
-  void Broadcast();
-  void SendTo(Peer& p);
-  ReplicaMessage OnVote(const ReplicaMessage& m);
-  bool GoesBefore(const ReplicaMessage& m) const;
-  bool Follow(const ReplicaMessage& m, ReplicaMessage* r);
-  void NoteStep(const ReplicaMessage& m);
-  ReplicaMessage OnAppend(const ReplicaMessage& m);
-  ReplicaMessage OnInstall(const ReplicaMessage& m);
-  ReplicaMessage OnJoin(const ReplicaMessage& m);
-  void OnVoteReply(const ReplicaMessage& m);
-  void OnAppendReply(const ReplicaMessage& m);
-  void OnJoinReply(const ReplicaMessage& m);
-  void AdvanceCommit();
-  void Apply(uint64_t to);
-  void MaybeCompact();
-  void SettleWaiters();
-  void FailWaiters();
-  void SeekGroup();
-  void RefreshMembers();
-  void HeardLeader(const Member& m);
+  bool AppendAsLeader(LogEntry e);
+  void BroadcastRound();
+  void ReplicateTo(Peer& peer);
+  ReplicaMessage HandleVoteRequest(const ReplicaMessage& m);
+  bool WinsElectionTie(const ReplicaMessage& m) const;
+  bool AcceptLeader(const ReplicaMessage& m, ReplicaMessage* reply);
+  void RecordIfUpToDate(const ReplicaMessage& m);
+  ReplicaMessage HandleAppend(const ReplicaMessage& m);
+  ReplicaMessage HandleInstallSnapshot(const ReplicaMessage& m);
+  ReplicaMessage HandleJoinRequest(const ReplicaMessage& m);
+  void HandleVoteReply(const ReplicaMessage& m);
+  void HandleAppendReply(const ReplicaMessage& m);
+  void HandleJoinReply(const ReplicaMessage& m);
+  void AdvanceCommitIndex();
+  void ApplyThrough(uint64_t index);
+  void MaybeCompactLog();
+  void CompleteReadyWaiters();
+  void FailAllWaiters();
+  void SendJoinRequest();
+  void ReloadMembersFromLog();
+  void RecordLeaderContact(const Member& leader);
   bool IsVoter(const std::string& id) const;
-  size_t Quorum() const { return members_.size() / 2 + 1; }
-  // When, at the latest, a quorum had confirmed this leader.
-  TimePoint QuorumContact() const;
-  uint64_t QuorumRound() const;
-  // When `round` was sent; the epoch if that is no longer known.
-  TimePoint RoundSent(uint64_t round) const;
-  uint64_t LastIndex() const;
+  size_t QuorumSize() const { return members_.size() / 2 + 1; }
+  // Returns the latest time at which a quorum is known to have accepted this
+  // leader.
+  TimePoint QuorumContactTime() const;
+  uint64_t QuorumAckedRound() const;
+  // Returns the send time of `round`, or the epoch if it is no longer stored.
+  TimePoint RoundSentTime(uint64_t round) const;
+  uint64_t LastLogIndex() const;
   uint64_t TermAt(uint64_t index) const;
-  const LogEntry& At(uint64_t index) const;
-  ReplicaMessage Make(ReplicaMessage::Type type) const;
-  void ResetElectionTimer(Duration min);
-  void ResetElectionTimer() { ResetElectionTimer(options_.election_min); }
+  const LogEntry& EntryAt(uint64_t index) const;
+  ReplicaMessage MakeMessage(ReplicaMessage::Type type) const;
+  void ResetElectionTimer(Duration min_timeout);
+  void ResetElectionTimer() {
+    ResetElectionTimer(options_.election_timeout_min);
+  }
 
   const Clock& clock_;
   ReplicaOptions options_;
@@ -278,37 +300,44 @@
   Snapshot snapshot_;
   std::deque<LogEntry> log_;  // Entries after snapshot_.index.
   size_t log_bytes_ = 0;
-  std::vector<Member> members_;  // The newest in the log, committed or not.
-  uint64_t members_index_ = 0;
-  uint64_t commit_ = 0;
-  uint64_t applied_ = 0;
-  size_t applied_bytes_ = 0;  // Of log entries; nothing needs them any more.
-  TimePoint compact_from_{};  // Not before: the store has just refused it.
+  // Voters of the newest membership entry in the log, committed or not.
+  std::vector<Member> members_;
+  uint64_t members_index_ = 0;  // Log index of `members_`.
+  uint64_t commit_index_ = 0;
+  uint64_t applied_index_ = 0;
+  // Bytes of log entries that are applied and can be compacted.
+  size_t applied_log_bytes_ = 0;
+  // Earliest time of the next compaction after the store failed one.
+  TimePoint compact_not_before_{};
   int64_t config_version_ = 0;
   Document config_;
   DutyLog duties_;
 
   ReplicaRole role_ = ReplicaRole::kFollower;
   std::optional<Member> leader_;
-  TimePoint leader_heard_{};
-  TimePoint in_step_at_{};
-  TimePoint election_at_{};
-  Duration first_wait_{};  // Until a leader was ever heard.
-  TimePoint disk_bad_until_{};
-  bool pre_voting_ = false;
-  TimePoint asked_at_{};  // When the last pre-vote went out.
-  std::vector<std::string> votes_;
-  std::map<std::string, Peer> peers_;  // By member id; leaders only.
-  uint64_t round_ = 0;
-  // When the newest rounds were sent, oldest first; the last is round_.
-  std::deque<TimePoint> round_sent_;
+  TimePoint leader_contact_at_{};
+  TimePoint up_to_date_at_{};  // Follower only: see StepAge().
+  TimePoint election_deadline_{};
+  // Lower bound of the next random election timeout. Grows from
+  // first_election_timeout_min to election_timeout_min.
+  Duration election_timeout_base_{};
+  TimePoint disk_backoff_until_{};
+  bool in_pre_vote_ = false;
+  TimePoint pre_vote_sent_at_{};
+  std::vector<std::string>
+      granted_votes_;                  // Ids of members that granted a vote.
+  std::map<std::string, Peer> peers_;  // By member id; leader only.
+  uint64_t round_ = 0;                 // Number of the newest broadcast.
+  // Send times of the newest rounds, oldest first. The last one is of `round_`.
+  std::deque<TimePoint> round_sent_times_;
   TimePoint leading_since_{};
-  uint64_t term_start_ = 0;  // Index of this leader's first entry.
+  uint64_t term_start_index_ =
+      0;  // Index of the first entry of this leader's term.
   std::vector<Waiter> waiters_;
-  NewestGate proposals_;
-  TimePoint sought_at_{};
-  size_t seek_next_ = 0;
-  std::vector<Member> hints_;
+  NewestGate config_proposals_;
+  TimePoint join_sent_at_{};
+  size_t next_join_target_ = 0;
+  std::vector<Member> join_hints_;  // Members from the last join reply.
 };
 
 }  // namespace medlarwalk
--- a/src/replica_codec.cc
+++ b/src/replica_codec.cc
@@ -8,15 +8,16 @@
 
 namespace {
 
-// Documents are kept as byte strings: an operator's body need not be UTF-8.
-json Bytes(const Document& d) {
-  if (!d) return json::binary({});
-  return json::binary(std::vector<uint8_t>(d->begin(), d->end()));
+// Documents are encoded as byte strings, because a configuration body sent by
+// an operator may not be valid UTF-8.
+json DocumentToJson(const Document& document) {
+  if (!document) return json::binary({});
+  return json::binary(std::vector<uint8_t>(document->begin(), document->end()));
 }
 
-Document BytesFrom(const json& j) {
-  const auto& b = j.get_binary();
-  return std::make_shared<const std::string>(b.begin(), b.end());
+Document DocumentFromJson(const json& j) {
+  const auto& bytes = j.get_binary();
+  return std::make_shared<const std::string>(bytes.begin(), bytes.end());
 }
 
 json MembersToJson(const std::vector<Member>& members) {
@@ -31,10 +32,10 @@
   return out;
 }
 
-// Reads without keeping anything, to the depth that our own messages have: the
-// library reads what is nested by recursion, and a message of nothing but
-// opening arrays would end the process by its stack.
-class DepthCheck : public nlohmann::json_sax<json> {
+// A SAX handler that only checks the nesting depth. The JSON library parses
+// nested values recursively, so a message of only opening arrays would overflow
+// the stack and crash the process.
+class NestingDepthLimit : public nlohmann::json_sax<json> {
  public:
   bool null() override { return true; }
   bool boolean(bool) override { return true; }
@@ -44,8 +45,8 @@
   bool string(string_t&) override { return true; }
   bool binary(binary_t&) override { return true; }
   bool key(string_t&) override { return true; }
-  bool start_object(size_t) override { return ++depth_ <= kMostDepth; }
-  bool start_array(size_t) override { return ++depth_ <= kMostDepth; }
+  bool start_object(size_t) override { return ++depth_ <= kMaxDepth; }
+  bool start_array(size_t) override { return ++depth_ <= kMaxDepth; }
   bool end_object() override { return --depth_ >= 0; }
   bool end_array() override { return --depth_ >= 0; }
   bool parse_error(size_t, const std::string&,
@@ -54,48 +55,52 @@
   }
 
  private:
-  // A message, its entries, one of them, its members, one of these: 5.
-  static constexpr int kMostDepth = 16;
+  // Own messages have at most 5 levels: the message, its entries, one entry,
+  // its members, one member.
+  static constexpr int kMaxDepth = 16;
   int depth_ = 0;
 };
 
-json DutyToJson(const DutyRecord& r) {
-  return {r.subject, r.number, Bytes(r.content), r.done_through};
+json DutyToJson(const DutyRecord& record) {
+  return {record.subject, record.number, DocumentToJson(record.content),
+          record.done_through};
 }
 
 DutyRecord DutyFromJson(const json& j) {
-  DutyRecord r;
-  r.subject = j.at(0).get<std::string>();
-  r.number = WholeNumber<int64_t>(j.at(1));
-  r.content = BytesFrom(j.at(2));
-  r.done_through = WholeNumber<int64_t>(j.at(3));
-  return r;
+  DutyRecord record;
+  record.subject = j.at(0).get<std::string>();
+  record.number = WholeNumber<int64_t>(j.at(1));
+  record.content = DocumentFromJson(j.at(2));
+  record.done_through = WholeNumber<int64_t>(j.at(3));
+  return record;
 }
 
 json DutiesToJson(const DutyLog& duties) {
   json out = json::array();
-  for (const auto& [subject, s] : duties.subjects()) {
+  for (const auto& [subject, state] : duties.subjects()) {
     json open = json::array();
-    for (const auto& [number, content] : s.open) {
-      open.push_back({number, Bytes(content)});
+    for (const auto& [number, content] : state.open) {
+      open.push_back({number, DocumentToJson(content)});
     }
-    out.push_back({subject, s.fixed_through, s.done_through, std::move(open)});
+    out.push_back(
+        {subject, state.fixed_through, state.done_through, std::move(open)});
   }
   return out;
 }
 
 DutyLog DutiesFromJson(const json& j) {
-  DutyLog out;
+  DutyLog duties;
   for (const json& item : j) {
-    DutyLog::Subject s;
-    s.fixed_through = WholeNumber<int64_t>(item.at(1));
-    s.done_through = WholeNumber<int64_t>(item.at(2));
-    for (const json& o : item.at(3)) {
-      s.open[WholeNumber<int64_t>(o.at(0))] = BytesFrom(o.at(1));
+    DutyLog::Subject state;
+    state.fixed_through = WholeNumber<int64_t>(item.at(1));
+    state.done_through = WholeNumber<int64_t>(item.at(2));
+    for (const json& record : item.at(3)) {
+      state.open[WholeNumber<int64_t>(record.at(0))] =
+          DocumentFromJson(record.at(1));
     }
-    out.Restore(item.at(0).get<std::string>(), std::move(s));
+    duties.Restore(item.at(0).get<std::string>(), std::move(state));
   }
-  return out;
+  return duties;
 }
 
 }  // namespace
@@ -110,7 +115,7 @@
   json j = {{"i", e.index}, {"t", e.term}, {"k", static_cast<int>(e.kind)}};
   if (e.kind == EntryKind::kConfig) {
     j["v"] = e.version;
-    j["d"] = Bytes(e.data);
+    j["d"] = DocumentToJson(e.config);
   }
   if (e.kind == EntryKind::kMembers) j["m"] = MembersToJson(e.members);
   if (e.kind == EntryKind::kDuty) j["u"] = DutyToJson(e.duty);
@@ -128,7 +133,7 @@
   e.kind = static_cast<EntryKind>(kind);
   if (e.kind == EntryKind::kConfig) {
     e.version = WholeNumber<int64_t>(j.at("v"));
-    e.data = BytesFrom(j.at("d"));
+    e.config = DocumentFromJson(j.at("d"));
   }
   if (e.kind == EntryKind::kMembers) e.members = MembersFromJson(j.at("m"));
   if (e.kind == EntryKind::kDuty) e.duty = DutyFromJson(j.at("u"));
@@ -139,7 +144,7 @@
   json j = {{"i", s.index},
             {"t", s.term},
             {"v", s.version},
-            {"d", Bytes(s.config)},
+            {"d", DocumentToJson(s.config)},
             {"m", MembersToJson(s.members)}};
   if (!s.duties.subjects().empty()) j["u"] = DutiesToJson(s.duties);
   return j;
@@ -150,22 +155,22 @@
   s.index = WholeNumber<uint64_t>(j.at("i"));
   s.term = WholeNumber<uint64_t>(j.at("t"));
   s.version = WholeNumber<int64_t>(j.at("v"));
-  if (s.version > 0) s.config = BytesFrom(j.at("d"));
+  if (s.version > 0) s.config = DocumentFromJson(j.at("d"));
   s.members = MembersFromJson(j.at("m"));
   if (j.contains("u")) s.duties = DutiesFromJson(j["u"]);
   return s;
 }
 
 std::string ToCbor(const json& j) {
-  std::vector<uint8_t> v = json::to_cbor(j);
-  return std::string(v.begin(), v.end());
+  std::vector<uint8_t> bytes = json::to_cbor(j);
+  return std::string(bytes.begin(), bytes.end());
 }
 
 absl::StatusOr<json> FromCbor(absl::string_view bytes) {
-  // The library throws on absurd sizes even where it is told not to.
+  // The library throws on absurd sizes even with exceptions turned off.
   try {
-    DepthCheck depth;
-    if (!json::sax_parse(bytes.begin(), bytes.end(), &depth,
+    NestingDepthLimit depth_limit;
+    if (!json::sax_parse(bytes.begin(), bytes.end(), &depth_limit,
                          json::input_format_t::cbor)) {
       return absl::InvalidArgumentError("not CBOR, or nested too deep");
     }
@@ -183,7 +188,7 @@
             {"o", m.ok},
             {"i", m.index},
             {"l", m.log_term},
-            {"c", m.commit},
+            {"c", m.commit_index},
             {"r", m.round}};
   if (!m.entries.empty()) {
     json entries = json::array();
@@ -212,7 +217,7 @@
     m.ok = j.at("o").get<bool>();
     m.index = WholeNumber<uint64_t>(j.at("i"));
     m.log_term = WholeNumber<uint64_t>(j.at("l"));
-    m.commit = WholeNumber<uint64_t>(j.at("c"));
+    m.commit_index = WholeNumber<uint64_t>(j.at("c"));
     m.round = WholeNumber<uint64_t>(j.at("r"));
     if (j.contains("e")) {
       for (const json& e : j["e"]) m.entries.push_back(EntryFromJson(e));
--- a/src/replica_codec.h
+++ b/src/replica_codec.h
@@ -1,4 +1,4 @@
-// Binary form (CBOR, by nlohmann-json) of replica messages, log entries and
+// CBOR encoding (with nlohmann-json) of replica messages, log entries and
 // snapshots, for the links between control processes and for the store.
 #ifndef MEDLARWALK_REPLICA_CODEC_H_
 #define MEDLARWALK_REPLICA_CODEC_H_
@@ -13,19 +13,21 @@
 namespace medlarwalk {
 
 std::string EncodeMessage(const ReplicaMessage& m);
-// Errors: InvalidArgument when the bytes are no message.
+// Errors: InvalidArgument if `bytes` are not a valid message.
 absl::StatusOr<ReplicaMessage> DecodeMessage(absl::string_view bytes);
 
 nlohmann::json ToJson(const LogEntry& e);
 nlohmann::json ToJson(const Snapshot& s);
 nlohmann::json ToJson(const Member& m);
-// These throw nlohmann::json::exception on a malformed value.
+// The FromJson functions throw nlohmann::json::exception on a malformed value.
 LogEntry EntryFromJson(const nlohmann::json& j);
 Snapshot SnapshotFromJson(const nlohmann::json& j);
 Member MemberFromJson(const nlohmann::json& j);
 
-// CBOR bytes of `j`, and back. Errors: InvalidArgument.
+// Returns `j` encoded as CBOR.
 std::string ToCbor(const nlohmann::json& j);
+// Decodes CBOR. Errors: InvalidArgument if `bytes` are malformed or nested too
+// deeply.
 absl::StatusOr<nlohmann::json> FromCbor(absl::string_view bytes);
 
 }  // namespace medlarwalk
--- a/src/replica_election.cc
+++ b/src/replica_election.cc
@@ -1,4 +1,4 @@
-// Terms, votes and who leads.
+// Leader election: terms, votes and pre-votes.
 #include <algorithm>
 
 #include "log.h"
@@ -7,71 +7,78 @@
 namespace medlarwalk {
 namespace {
 
-// Replicas that ask for votes within this of each other ask at once; above a
-// round trip, below the time to the next try.
-constexpr auto kSameMoment = Millis(50);
+// Two pre-votes sent within this time of each other count as concurrent. Longer
+// than a round trip, shorter than the time to the next attempt.
+constexpr auto kConcurrentElectionWindow = Millis(50);
 
 }  // namespace
 
-void Replica::ResetElectionTimer(Duration least) {
-  auto min = std::chrono::duration_cast<std::chrono::microseconds>(least);
-  std::uniform_int_distribution<int64_t> d(min.count(), 2 * min.count());
-  election_at_ = clock_.Now() + std::chrono::microseconds(d(random_));
+void Replica::ResetElectionTimer(Duration min_timeout) {
+  auto min_us =
+      std::chrono::duration_cast<std::chrono::microseconds>(min_timeout);
+  std::uniform_int_distribution<int64_t> timeout_us(min_us.count(),
+                                                    2 * min_us.count());
+  election_deadline_ =
+      clock_.Now() + std::chrono::microseconds(timeout_us(random_));
 }
 
-bool Replica::SetTerm(uint64_t term, const std::string& vote) {
-  absl::Status s = store_.SaveVote(term, vote);
-  if (!s.ok()) {
-    disk_bad_until_ = clock_.Now() + kDiskBackoff;
-    LogWarn("store_failed", {{"op", "vote"}, {"error", s.message()}});
+bool Replica::SetTermAndVote(uint64_t term, const std::string& voted_for) {
+  absl::Status status = store_.SaveTermAndVote(term, voted_for);
+  if (!status.ok()) {
+    disk_backoff_until_ = clock_.Now() + kDiskErrorBackoff;
+    LogWarn("store_failed", {{"op", "vote"}, {"error", status.message()}});
     return false;
   }
   term_ = term;
-  voted_for_ = vote;
+  voted_for_ = voted_for;
   return true;
 }
 
-void Replica::StepDown(uint64_t term, absl::string_view why) {
-  bool led = role_ == ReplicaRole::kLeader;
-  // Failing to store a newer term leaves the old one in place; the next
-  // message with the newer term tries again, and no vote is given meanwhile.
-  if (term > term_) SetTerm(term, "");
+void Replica::StepDown(uint64_t term, absl::string_view reason) {
+  bool was_leader = role_ == ReplicaRole::kLeader;
+  // If the newer term cannot be stored, the old term stays in force and this
+  // replica grants no vote in the newer one. The next message with the newer
+  // term stores it again.
+  if (term > term_) SetTermAndVote(term, "");
   role_ = ReplicaRole::kFollower;
-  pre_voting_ = false;
-  if (led) {
+  in_pre_vote_ = false;
+  if (was_leader) {
     leader_.reset();
-    leader_heard_ = {};
+    leader_contact_at_ = {};
     peers_.clear();
-    FailWaiters();
+    FailAllWaiters();
     ResetElectionTimer();
-    LogEvent("leader_stepped_down", {{"term", term_}, {"why", why}});
+    LogEvent("leader_stepped_down", {{"term", term_}, {"why", reason}});
     if (hooks_.on_change) hooks_.on_change();
   }
 }
 
 void Replica::StartElection(bool pre_vote) {
-  // A pre-vote unseats nobody, so until a leader was ever heard it is soon
-  // repeated: the others may only just be starting. Each time later than
-  // before, as votes may take long over slow disks.
-  if (leader_heard_ != TimePoint{}) first_wait_ = options_.election_min;
-  ResetElectionTimer(first_wait_);
-  first_wait_ = std::min(2 * first_wait_, options_.election_min);
-  if (!pre_vote && !SetTerm(term_ + 1, self_.id)) return;
+  // A pre-vote does not disturb a leader. Until the first contact with a leader
+  // it is therefore repeated after a short time: the other replicas may just be
+  // starting. The time doubles with each attempt, because storing votes may
+  // take long on slow disks.
+  if (leader_contact_at_ != TimePoint{})
+    election_timeout_base_ = options_.election_timeout_min;
+  ResetElectionTimer(election_timeout_base_);
+  election_timeout_base_ =
+      std::min(2 * election_timeout_base_, options_.election_timeout_min);
+  if (!pre_vote && !SetTermAndVote(term_ + 1, self_.id)) return;
   if (!pre_vote) {
-    LogEvent(
-        "votes_asked",
-        {{"term", term_}, {"index", LastIndex()}, {"voters", members_.size()}});
+    LogEvent("votes_asked", {{"term", term_},
+                             {"index", LastLogIndex()},
+                             {"voters", members_.size()}});
   }
   role_ = ReplicaRole::kCandidate;
-  if (pre_vote) asked_at_ = clock_.Now();
-  pre_voting_ = pre_vote;
+  if (pre_vote) pre_vote_sent_at_ = clock_.Now();
+  in_pre_vote_ = pre_vote;
   leader_.reset();
-  votes_.clear();
-  ReplicaMessage m = Make(ReplicaMessage::Type::kVote);
+  granted_votes_.clear();
+  ReplicaMessage m = MakeMessage(ReplicaMessage::Type::kVoteRequest);
   m.pre_vote = pre_vote;
   if (pre_vote) m.term = term_ + 1;
-  m.index = LastIndex();
-  m.log_term = TermAt(LastIndex());
+  m.index = LastLogIndex();
+  m.log_term = TermAt(LastLogIndex());
   std::vector<Member> members = members_;
   CountVote(self_.id);
   for (const Member& p : members) {
@@ -79,13 +86,14 @@
   }
 }
 
-void Replica::CountVote(const std::string& id) {
-  if (!IsVoter(id)) return;
-  if (std::find(votes_.begin(), votes_.end(), id) == votes_.end()) {
-    votes_.push_back(id);
+void Replica::CountVote(const std::string& voter_id) {
+  if (!IsVoter(voter_id)) return;
+  if (std::find(granted_votes_.begin(), granted_votes_.end(), voter_id) ==
+      granted_votes_.end()) {
+    granted_votes_.push_back(voter_id);
   }
-  if (votes_.size() < Quorum()) return;
-  if (pre_voting_) {
+  if (granted_votes_.size() < QuorumSize()) return;
+  if (in_pre_vote_) {
     StartElection(false);
   } else {
     BecomeLeader();
@@ -99,67 +107,72 @@
   peers_.clear();
   for (const Member& m : members_) {
     if (m.id == self_.id) continue;
-    Peer p;
-    p.member = m;
-    p.next = LastIndex() + 1;
-    p.heard = leading_since_;
-    p.round_at = leading_since_;
-    peers_[m.id] = p;
+    Peer peer;
+    peer.member = m;
+    peer.next_index = LastLogIndex() + 1;
+    peer.last_reply_at = leading_since_;
+    peer.acked_round_sent_at = leading_since_;
+    peers_[m.id] = peer;
   }
-  term_start_ = LastIndex() + 1;
-  LogEvent("leader_elected", {{"term", term_}, {"index", LastIndex()}});
-  AppendOwn(LogEntry{});
+  term_start_index_ = LastLogIndex() + 1;
+  LogEvent("leader_elected", {{"term", term_}, {"index", LastLogIndex()}});
+  AppendAsLeader(LogEntry{});
   if (hooks_.on_change) hooks_.on_change();
 }
 
-// Whether this replica asked for votes at the same moment as the sender of `m`
-// and has the same right to them: by their ids, one gives way. Both would win
-// the pre-vote, and where every vote is needed neither would win the vote.
-bool Replica::GoesBefore(const ReplicaMessage& m) const {
-  bool asking = role_ == ReplicaRole::kCandidate &&
-                clock_.Now() - asked_at_ < kSameMoment;
-  bool same_log = m.index == LastIndex() && m.log_term == TermAt(LastIndex());
-  return asking && same_log && self_.id < m.from.id;
+// Returns whether this replica and the sender of `m` sent concurrent pre-votes
+// with the same last log entry, and this replica has the lower id. The sender
+// then gets no pre-vote. Without this rule both would win the pre-vote, and
+// where every vote is needed, neither would win the election.
+bool Replica::WinsElectionTie(const ReplicaMessage& m) const {
+  bool pre_vote_concurrent =
+      role_ == ReplicaRole::kCandidate &&
+      clock_.Now() - pre_vote_sent_at_ < kConcurrentElectionWindow;
+  bool same_log =
+      m.index == LastLogIndex() && m.log_term == TermAt(LastLogIndex());
+  return pre_vote_concurrent && same_log && self_.id < m.from.id;
 }
 
-ReplicaMessage Replica::OnVote(const ReplicaMessage& m) {
-  ReplicaMessage r = Make(ReplicaMessage::Type::kVoteReply);
-  r.pre_vote = m.pre_vote;
-  bool newer_log =
-      m.log_term > TermAt(LastIndex()) ||
-      (m.log_term == TermAt(LastIndex()) && m.index >= LastIndex());
-  // A leader heard lately, or being it, keeps its office: a host that comes
-  // back from a cut must not unseat a working leader.
-  bool has_leader = LeaderAge() < options_.election_min;
+ReplicaMessage Replica::HandleVoteRequest(const ReplicaMessage& m) {
+  ReplicaMessage reply = MakeMessage(ReplicaMessage::Type::kVoteReply);
+  reply.pre_vote = m.pre_vote;
+  bool log_up_to_date =
+      m.log_term > TermAt(LastLogIndex()) ||
+      (m.log_term == TermAt(LastLogIndex()) && m.index >= LastLogIndex());
+  // Grant no vote while there is a working leader: a host that returns from a
+  // network partition must not depose it.
+  bool has_leader = LeaderAge() < options_.election_timeout_min;
   if (m.pre_vote) {
-    r.ok = m.term > term_ && newer_log && !has_leader && !GoesBefore(m);
-    return r;
+    reply.ok =
+        m.term > term_ && log_up_to_date && !has_leader && !WinsElectionTie(m);
+    return reply;
   }
-  if (has_leader || m.term < term_) return r;
+  if (has_leader || m.term < term_) return reply;
   if (m.term > term_) StepDown(m.term, "newer term");
-  r.term = term_;
-  bool free = voted_for_.empty() || voted_for_ == m.from.id;
-  if (m.term != term_ || !free || !newer_log) return r;
-  if (role_ == ReplicaRole::kLeader) return r;
-  if (voted_for_ != m.from.id && !SetTerm(term_, m.from.id)) return r;
-  r.ok = true;
+  reply.term = term_;
+  bool can_vote = voted_for_.empty() || voted_for_ == m.from.id;
+  if (m.term != term_ || !can_vote || !log_up_to_date) return reply;
+  if (role_ == ReplicaRole::kLeader) return reply;
+  if (voted_for_ != m.from.id && !SetTermAndVote(term_, m.from.id))
+    return reply;
+  reply.ok = true;
   LogEvent("vote_given", {{"term", term_}, {"to", m.from.address}});
   ResetElectionTimer();
-  return r;
+  return reply;
 }
 
-void Replica::OnVoteReply(const ReplicaMessage& m) {
+void Replica::HandleVoteReply(const ReplicaMessage& m) {
   if (m.term > term_ && !m.pre_vote) {
     StepDown(m.term, "newer term");
     return;
   }
   if (m.pre_vote && m.term > term_ && !m.ok) {
-    // Take over the newer term, or this replica could never win it.
+    // Adopt the newer term; otherwise this replica could never win an election.
     StepDown(m.term, "newer term");
     return;
   }
   if (role_ != ReplicaRole::kCandidate || !m.ok) return;
-  if (m.pre_vote != pre_voting_) return;
+  if (m.pre_vote != in_pre_vote_) return;
   CountVote(m.from.id);
 }
 
--- a/src/replica_members.cc
+++ b/src/replica_members.cc
@@ -1,4 +1,4 @@
-// The replica's part that changes who belongs to the group.
+// Membership changes of the replica group and join requests.
 #include <algorithm>
 
 #include "log.h"
@@ -7,67 +7,73 @@
 namespace medlarwalk {
 namespace {
 
-// How often a replica outside the group asks to be let in.
-constexpr auto kSeekInterval = Millis(300);
-// A host that asked to join and then fell silent is forgotten after this.
-constexpr auto kForgetLearner = std::chrono::seconds(5);
+// Interval between join requests of a replica outside the group.
+constexpr auto kJoinInterval = Millis(300);
+// A learner that has been silent for this long is forgotten.
+constexpr auto kForgetSilentLearnerAfter = std::chrono::seconds(5);
 
 }  // namespace
 
-// Lets caught-up joiners in, one change at a time, and drops voters that are
-// gone: a lost disk's old identity first (it can never answer again), then
-// hosts silent for long.
+// Adds learners that have caught up as voters and removes lost voters, one
+// change at a time. If a learner has the address of a voter, that voter is
+// removed first: its host lost its disk, so the old identity never answers
+// again. Voters that have been silent for long are removed as well.
 void Replica::ManageMembers() {
   TimePoint now = clock_.Now();
   for (auto it = peers_.begin(); it != peers_.end();) {
-    bool forget = it->second.learner && !IsVoter(it->first) &&
-                  now - it->second.heard > kForgetLearner;
-    it = forget ? peers_.erase(it) : std::next(it);
+    bool forget_learner =
+        it->second.learner && !IsVoter(it->first) &&
+        now - it->second.last_reply_at > kForgetSilentLearnerAfter;
+    it = forget_learner ? peers_.erase(it) : std::next(it);
   }
-  if (commit_ < term_start_ || members_index_ > commit_) return;
+  if (commit_index_ < term_start_index_ || members_index_ > commit_index_)
+    return;
   auto silent_for = [&](const Member& m) -> Duration {
     if (m.id == self_.id) return Duration::zero();
     auto it = peers_.find(m.id);
-    return it == peers_.end() ? Duration::max() : now - it->second.heard;
+    return it == peers_.end() ? Duration::max()
+                              : now - it->second.last_reply_at;
   };
   auto without = [&](const std::string& id) {
-    std::vector<Member> out;
+    std::vector<Member> remaining;
     for (const Member& m : members_) {
-      if (m.id != id) out.push_back(m);
+      if (m.id != id) remaining.push_back(m);
     }
-    return out;
+    return remaining;
   };
-  const Member* oldest = nullptr;
+  const Member* most_silent = nullptr;
   for (const Member& m : members_) {
-    if (!oldest || silent_for(m) > silent_for(*oldest)) oldest = &m;
+    if (!most_silent || silent_for(m) > silent_for(*most_silent))
+      most_silent = &m;
   }
-  for (auto& [id, p] : peers_) {
-    if (!p.learner || IsVoter(id) || p.match < commit_ ||
-        now - p.heard > options_.election_min) {
+  for (auto& [id, peer] : peers_) {
+    if (!peer.learner || IsVoter(id) || peer.match_index < commit_index_ ||
+        now - peer.last_reply_at > options_.election_timeout_min) {
       continue;
     }
     for (const Member& m : members_) {
-      if (m.address == p.member.address && m.id != id) {
+      if (m.address == peer.member.address && m.id != id) {
         ProposeMembers(without(m.id));
         return;
       }
     }
     bool full = static_cast<int>(members_.size()) >= options_.max_voters;
-    if (oldest && members_.size() > 1 &&
-        silent_for(*oldest) > options_.replace_silent_after &&
+    if (most_silent && members_.size() > 1 &&
+        silent_for(*most_silent) > options_.replace_silent_after &&
         (full || static_cast<int>(members_.size()) > 2 * options_.tolerate)) {
-      ProposeMembers(without(oldest->id));
+      ProposeMembers(without(most_silent->id));
       return;
     }
     if (full) continue;
-    std::vector<Member> more = members_;
-    more.push_back(p.member);
-    ProposeMembers(std::move(more));
+    std::vector<Member> new_members = members_;
+    new_members.push_back(peer.member);
+    ProposeMembers(std::move(new_members));
     return;
   }
-  if (oldest && static_cast<int>(members_.size()) > 2 * options_.tolerate + 1 &&
-      silent_for(*oldest) > options_.drop_silent_after) {
-    ProposeMembers(without(oldest->id));
+  if (most_silent &&
+      static_cast<int>(members_.size()) > 2 * options_.tolerate + 1 &&
+      silent_for(*most_silent) > options_.drop_silent_after) {
+    ProposeMembers(without(most_silent->id));
   }
 }
 
@@ -75,55 +81,57 @@
   LogEntry e;
   e.kind = EntryKind::kMembers;
   e.members = std::move(members);
-  if (!AppendOwn(std::move(e))) return false;
+  if (!AppendAsLeader(std::move(e))) return false;
   for (const Member& m : members_) {
     auto it = peers_.find(m.id);
     if (it != peers_.end()) it->second.learner = false;
   }
   for (auto it = peers_.begin(); it != peers_.end();) {
-    bool gone = !IsVoter(it->first) && !it->second.learner;
-    it = gone ? peers_.erase(it) : std::next(it);
+    bool removed = !IsVoter(it->first) && !it->second.learner;
+    it = removed ? peers_.erase(it) : std::next(it);
   }
   return true;
 }
 
-// Asks seeds and the members last known, one at a time, for the group.
-void Replica::SeekGroup() {
+// Sends a join request to the next of the seeds and the last known members, at
+// most once per kJoinInterval.
+void Replica::SendJoinRequest() {
   TimePoint now = clock_.Now();
-  if (now - sought_at_ < kSeekInterval) return;
-  sought_at_ = now;
-  std::vector<std::string> ask;
-  for (const Member& m : hints_) ask.push_back(m.address);
-  for (const Member& m : members_) ask.push_back(m.address);
-  for (const std::string& s : seeds_) ask.push_back(s);
-  ask.erase(std::remove(ask.begin(), ask.end(), self_.address), ask.end());
-  if (ask.empty()) return;
-  ReplicaMessage m = Make(ReplicaMessage::Type::kJoin);
-  hooks_.send(Member{"", ask[seek_next_++ % ask.size()]}, m);
+  if (now - join_sent_at_ < kJoinInterval) return;
+  join_sent_at_ = now;
+  std::vector<std::string> targets;
+  for (const Member& m : join_hints_) targets.push_back(m.address);
+  for (const Member& m : members_) targets.push_back(m.address);
+  for (const std::string& s : seeds_) targets.push_back(s);
+  targets.erase(std::remove(targets.begin(), targets.end(), self_.address),
+                targets.end());
+  if (targets.empty()) return;
+  ReplicaMessage m = MakeMessage(ReplicaMessage::Type::kJoin);
+  hooks_.send(Member{"", targets[next_join_target_++ % targets.size()]}, m);
 }
 
-ReplicaMessage Replica::OnJoin(const ReplicaMessage& m) {
-  ReplicaMessage r = Make(ReplicaMessage::Type::kJoinReply);
-  r.members = members_;
+ReplicaMessage Replica::HandleJoinRequest(const ReplicaMessage& m) {
+  ReplicaMessage reply = MakeMessage(ReplicaMessage::Type::kJoinReply);
+  reply.members = members_;
   if (role_ != ReplicaRole::kLeader) {
-    if (std::optional<Member> l = Leader())
-      r.members.insert(r.members.begin(), *l);
-    return r;
+    if (std::optional<Member> leader = Leader())
+      reply.members.insert(reply.members.begin(), *leader);
+    return reply;
   }
-  r.ok = true;
-  if (m.from.id == self_.id || peers_.count(m.from.id)) return r;
-  Peer p;
-  p.member = m.from;
-  p.learner = true;
-  p.next = LastIndex() + 1;
-  p.heard = clock_.Now();
+  reply.ok = true;
+  if (m.from.id == self_.id || peers_.count(m.from.id)) return reply;
+  Peer peer;
+  peer.member = m.from;
+  peer.learner = true;
+  peer.next_index = LastLogIndex() + 1;
+  peer.last_reply_at = clock_.Now();
   LogEvent("joiner", {{"id", m.from.id}, {"address", m.from.address}});
-  SendTo(peers_[m.from.id] = p);
-  return r;
+  ReplicateTo(peers_[m.from.id] = peer);
+  return reply;
 }
 
-void Replica::OnJoinReply(const ReplicaMessage& m) {
-  if (!m.members.empty()) hints_ = m.members;
+void Replica::HandleJoinReply(const ReplicaMessage& m) {
+  if (!m.members.empty()) join_hints_ = m.members;
 }
 
 }  // namespace medlarwalk
--- a/src/replica_store.cc
+++ b/src/replica_store.cc
@@ -19,24 +19,25 @@
 
 namespace {
 
-constexpr size_t kHeaderBytes = 12;  // Length (4) and checksum (8).
-// A length above this is a torn header, not a record.
+constexpr size_t kRecordHeaderBytes = 12;  // Length (4) and checksum (8).
+// A greater length means a torn header.
 constexpr uint32_t kMaxRecordBytes = 64u << 20;
 
-json StateRecord(const StoredState& s) {
-  return {
-      {"r", "state"}, {"self", ToJson(s.self)}, {"snap", ToJson(s.snapshot)}};
+json StateRecord(const StoredState& state) {
+  return {{"r", "state"},
+          {"self", ToJson(state.self)},
+          {"snap", ToJson(state.snapshot)}};
 }
 
-json VoteRecord(uint64_t term, const std::string& vote) {
-  return {{"r", "vote"}, {"t", term}, {"v", vote}};
+json VoteRecord(uint64_t term, const std::string& voted_for) {
+  return {{"r", "vote"}, {"t", term}, {"v", voted_for}};
 }
 
 json EntryRecord(const LogEntry& e) {
   return {{"r", "entry"}, {"e", ToJson(e)}};
 }
 
-void DropFrom(std::vector<LogEntry>& log, uint64_t index) {
+void RemoveEntriesFrom(std::vector<LogEntry>& log, uint64_t index) {
   while (!log.empty() && log.back().index >= index) log.pop_back();
 }
 
@@ -44,61 +45,63 @@
 
 std::string FrameRecord(const json& j) {
   std::string payload = ToCbor(j);
-  uint32_t n = static_cast<uint32_t>(payload.size());
-  uint64_t sum = StableHash(payload, n);
-  std::string out(kHeaderBytes, '\0');
-  std::memcpy(&out[0], &n, 4);
-  std::memcpy(&out[4], &sum, 8);
-  return out + payload;
+  uint32_t length = static_cast<uint32_t>(payload.size());
+  uint64_t checksum = StableHash(payload, length);
+  std::string header(kRecordHeaderBytes, '\0');
+  std::memcpy(&header[0], &length, 4);
+  std::memcpy(&header[4], &checksum, 8);
+  return header + payload;
 }
 
-std::vector<json> ReadRecords(absl::string_view bytes, size_t* taken) {
-  std::vector<json> out;
-  *taken = 0;
-  while (bytes.size() >= kHeaderBytes) {
-    uint32_t n;
-    uint64_t sum;
-    std::memcpy(&n, bytes.data(), 4);
-    std::memcpy(&sum, bytes.data() + 4, 8);
-    if (n > kMaxRecordBytes || bytes.size() - kHeaderBytes < n) break;
-    absl::string_view payload = bytes.substr(kHeaderBytes, n);
-    if (StableHash(payload, n) != sum) break;
+std::vector<json> ReadRecords(absl::string_view bytes, size_t* valid_bytes) {
+  std::vector<json> records;
+  *valid_bytes = 0;
+  while (bytes.size() >= kRecordHeaderBytes) {
+    uint32_t length;
+    uint64_t checksum;
+    std::memcpy(&length, bytes.data(), 4);
+    std::memcpy(&checksum, bytes.data() + 4, 8);
+    if (length > kMaxRecordBytes || bytes.size() - kRecordHeaderBytes < length)
+      break;
+    absl::string_view payload = bytes.substr(kRecordHeaderBytes, length);
+    if (StableHash(payload, length) != checksum) break;
     absl::StatusOr<json> j = FromCbor(payload);
     if (!j.ok()) break;
-    out.push_back(*std::move(j));
-    bytes.remove_prefix(kHeaderBytes + n);
-    *taken += kHeaderBytes + n;
+    records.push_back(*std::move(j));
+    bytes.remove_prefix(kRecordHeaderBytes + length);
+    *valid_bytes += kRecordHeaderBytes + length;
   }
-  return out;
+  return records;
 }
 
 absl::StatusOr<StoredState> StateFromRecords(const std::vector<json>& records) {
-  StoredState s;
+  StoredState state;
   try {
     for (const json& r : records) {
       std::string kind = r.at("r").get<std::string>();
       if (kind == "state") {
-        s.self = MemberFromJson(r.at("self"));
-        s.snapshot = SnapshotFromJson(r.at("snap"));
-        s.log.clear();
+        state.self = MemberFromJson(r.at("self"));
+        state.snapshot = SnapshotFromJson(r.at("snap"));
+        state.log.clear();
       } else if (kind == "vote") {
-        s.term = WholeNumber<uint64_t>(r.at("t"));
-        s.voted_for = r.at("v").get<std::string>();
+        state.term = WholeNumber<uint64_t>(r.at("t"));
+        state.voted_for = r.at("v").get<std::string>();
       } else if (kind == "entry") {
         LogEntry e = EntryFromJson(r.at("e"));
-        DropFrom(s.log, e.index);
-        uint64_t next =
-            (s.log.empty() ? s.snapshot.index : s.log.back().index) + 1;
-        if (e.index == next) s.log.push_back(std::move(e));
+        RemoveEntriesFrom(state.log, e.index);
+        uint64_t next = (state.log.empty() ? state.snapshot.index
+                                           : state.log.back().index) +
+                        1;
+        if (e.index == next) state.log.push_back(std::move(e));
       } else if (kind == "truncate") {
-        DropFrom(s.log, WholeNumber<uint64_t>(r.at("i")));
+        RemoveEntriesFrom(state.log, WholeNumber<uint64_t>(r.at("i")));
       }
     }
   } catch (const json::exception& e) {
     return absl::DataLossError(e.what());
   }
-  if (s.self.id.empty()) return absl::NotFoundError("no identity stored");
-  return s;
+  if (state.self.id.empty()) return absl::NotFoundError("no identity stored");
+  return state;
 }
 
 FileReplicaStore::FileReplicaStore(std::string dir, BeforeWrite before_write)
@@ -114,57 +117,58 @@
   mkdir(dir_.c_str(), 0755);
   absl::StatusOr<std::string> bytes = ReadFile(path_);
   if (!bytes.ok()) return bytes.status();
-  size_t taken = 0;
-  std::vector<json> records = ReadRecords(*bytes, &taken);
-  if (records.empty()) return absl::NotFoundError("no whole record");
-  absl::StatusOr<StoredState> s = StateFromRecords(records);
-  if (!s.ok()) return s;
+  size_t valid_bytes = 0;
+  std::vector<json> records = ReadRecords(*bytes, &valid_bytes);
+  if (records.empty()) return absl::NotFoundError("no complete record");
+  absl::StatusOr<StoredState> state = StateFromRecords(records);
+  if (!state.ok()) return state;
   fd_ = open(path_.c_str(), O_RDWR | O_CLOEXEC);
-  if (fd_ < 0) return Errno("open");
-  good_length_ = static_cast<int64_t>(taken);
-  dirty_ = taken != bytes->size();
-  dir_unsynced_ = true;
-  lseek(fd_, good_length_, SEEK_SET);
-  return s;
+  if (fd_ < 0) return ErrnoStatus("open");
+  synced_length_ = static_cast<int64_t>(valid_bytes);
+  tail_dirty_ = valid_bytes != bytes->size();
+  dir_sync_pending_ = true;
+  lseek(fd_, synced_length_, SEEK_SET);
+  return state;
 }
 
 absl::Status FileReplicaStore::WriteRecords(const std::vector<json>& records) {
   if (fd_ < 0) return absl::UnavailableError("store is not open");
-  if (dir_unsynced_) {
-    absl::Status s = SyncDir(dir_);
-    if (!s.ok()) return s;
-    dir_unsynced_ = false;
+  if (dir_sync_pending_) {
+    absl::Status status = SyncDir(dir_);
+    if (!status.ok()) return status;
+    dir_sync_pending_ = false;
   }
-  if (dirty_) {
-    if (ftruncate(fd_, good_length_) != 0 || fsync(fd_) != 0) {
-      return Errno("cut back");
+  if (tail_dirty_) {
+    if (ftruncate(fd_, synced_length_) != 0 || fsync(fd_) != 0) {
+      return ErrnoStatus("truncate");
     }
-    lseek(fd_, good_length_, SEEK_SET);
-    dirty_ = false;
+    lseek(fd_, synced_length_, SEEK_SET);
+    tail_dirty_ = false;
   }
   std::string bytes;
   for (const json& r : records) bytes += FrameRecord(r);
-  dirty_ = true;
-  absl::Status s = WriteAll(fd_, bytes, before_write_);
-  if (!s.ok()) return s;
-  if (fdatasync(fd_) != 0) return Errno("sync");
-  dirty_ = false;
-  good_length_ += static_cast<int64_t>(bytes.size());
+  tail_dirty_ = true;
+  absl::Status status = WriteAll(fd_, bytes, before_write_);
+  if (!status.ok()) return status;
+  if (fdatasync(fd_) != 0) return ErrnoStatus("sync");
+  tail_dirty_ = false;
+  synced_length_ += static_cast<int64_t>(bytes.size());
   return absl::OkStatus();
 }
 
-absl::Status FileReplicaStore::SaveVote(uint64_t term,
-                                        const std::string& voted_for) {
+absl::Status FileReplicaStore::SaveTermAndVote(uint64_t term,
+                                               const std::string& voted_for) {
   return WriteRecords({VoteRecord(term, voted_for)});
 }
 
-absl::Status FileReplicaStore::Append(const std::vector<LogEntry>& entries) {
+absl::Status FileReplicaStore::AppendEntries(
+    const std::vector<LogEntry>& entries) {
   std::vector<json> records;
   for (const LogEntry& e : entries) records.push_back(EntryRecord(e));
   return WriteRecords(records);
 }
 
-absl::Status FileReplicaStore::Truncate(uint64_t index) {
+absl::Status FileReplicaStore::TruncateFrom(uint64_t index) {
   return WriteRecords({json{{"r", "truncate"}, {"i", index}}});
 }
 
@@ -174,16 +178,16 @@
   for (const LogEntry& e : state.log) bytes += FrameRecord(EntryRecord(e));
   absl::StatusOr<int> fd = ReplaceFile(path_, bytes, before_write_);
   if (!fd.ok()) return fd.status();
-  // From here the new file is the one in use. Until the folder is synced the
-  // older one may come back after a loss of power, so nothing more is written
-  // before that has succeeded.
+  // The new file is in use from here on. Until the directory is synced, the old
+  // file may reappear after a power loss, so WriteRecords syncs the directory
+  // before it writes.
   if (fd_ >= 0) close(fd_);
   fd_ = *fd;
-  good_length_ = static_cast<int64_t>(bytes.size());
-  dirty_ = false;
-  absl::Status s = SyncDir(dir_);
-  dir_unsynced_ = !s.ok();
-  return s;
+  synced_length_ = static_cast<int64_t>(bytes.size());
+  tail_dirty_ = false;
+  absl::Status status = SyncDir(dir_);
+  dir_sync_pending_ = !status.ok();
+  return status;
 }
 
 }  // namespace medlarwalk
--- a/src/replica_store.h
+++ b/src/replica_store.h
@@ -1,7 +1,7 @@
-// The replica's state on disk: one file of checksummed records, each synced
-// before its change is acted on, and rewritten whole when it is folded. After
-// a loss of power the unsynced tail may be torn or missing; it ends at the
-// first record that does not check, and nothing before it was unsynced.
+// The replica's state on disk: one file of checksummed records. Each record is
+// synced before the replica acts on the change; compaction rewrites the file.
+// After a power loss the unsynced tail may be torn or missing. Reading stops at
+// the first invalid record, and all synced records come before it.
 #ifndef MEDLARWALK_REPLICA_STORE_H_
 #define MEDLARWALK_REPLICA_STORE_H_
 
@@ -16,7 +16,7 @@
 
 namespace medlarwalk {
 
-// A ReplicaStore in folder `dir`. Calls block until synced.
+// A ReplicaStore in directory `dir`. Calls block until the data is synced.
 class FileReplicaStore : public ReplicaStore {
  public:
   // `before_write` may be empty.
@@ -25,14 +25,15 @@
   FileReplicaStore(const FileReplicaStore&) = delete;
   FileReplicaStore& operator=(const FileReplicaStore&) = delete;
 
-  // Reads what is stored and opens it for writing. NotFound when the folder
-  // holds no state (call Rewrite first then); errors of the disk as
-  // Unavailable.
+  // Reads the stored state and opens the file for writing.
+  // Errors: NotFound if the directory holds no state; call Rewrite first then.
+  // DataLoss if a record is malformed. Unavailable for disk errors.
   absl::StatusOr<StoredState> Load();
 
-  absl::Status SaveVote(uint64_t term, const std::string& voted_for) override;
-  absl::Status Append(const std::vector<LogEntry>& entries) override;
-  absl::Status Truncate(uint64_t index) override;
+  absl::Status SaveTermAndVote(uint64_t term,
+                               const std::string& voted_for) override;
+  absl::Status AppendEntries(const std::vector<LogEntry>& entries) override;
+  absl::Status TruncateFrom(uint64_t index) override;
   absl::Status Rewrite(const StoredState& state) override;
 
  private:
@@ -42,22 +43,24 @@
   std::string dir_;
   std::string path_;
   int fd_ = -1;
-  // A failed write may have left a torn record: nothing may follow it until
-  // the file has been cut back to this length.
-  int64_t good_length_ = 0;
-  bool dirty_ = false;
-  // The rename of the last rewrite is not yet known to be durable.
-  bool dir_unsynced_ = false;
+  // Length of the synced records.
+  int64_t synced_length_ = 0;
+  // The file may hold a torn record after `synced_length_`. The file must be
+  // truncated to that length before the next record is written.
+  bool tail_dirty_ = false;
+  // The rename of the last rewrite may not be durable yet.
+  bool dir_sync_pending_ = false;
 };
 
-// One record as ReadRecords reads it, with its length and a checksum.
+// Returns `j` as one record for ReadRecords: length, checksum and CBOR bytes.
 std::string FrameRecord(const nlohmann::json& j);
-// The records in `bytes`, up to the first that does not check; their length
-// in bytes goes to `*taken`. For tests and fuzzing of the reader too.
-std::vector<nlohmann::json> ReadRecords(absl::string_view bytes, size_t* taken);
+// Returns the records in `bytes` up to the first invalid one. Sets
+// `*valid_bytes` to their total length. Public for tests and fuzzing.
+std::vector<nlohmann::json> ReadRecords(absl::string_view bytes,
+                                        size_t* valid_bytes);
 
-// The state that `records` leave, in their order. Errors: DataLoss when one is
-// no record, NotFound when none says who the replica is.
+// Returns the state after applying `records` in order. Errors: DataLoss if a
+// record is malformed, NotFound if no record holds the replica's identity.
 absl::StatusOr<StoredState> StateFromRecords(
     const std::vector<nlohmann::json>& records);
 
--- a/test/replica_group.cc
+++ b/test/replica_group.cc
@@ -7,34 +7,35 @@
 namespace medlarwalk::testing {
 namespace {
 
-constexpr auto kStep = Millis(10);
+constexpr auto kTimeStep = Millis(10);
 
-absl::Status Full() { return absl::UnavailableError("disk full"); }
+absl::Status DiskFullError() { return absl::UnavailableError("disk full"); }
 
 }  // namespace
 
-absl::Status MemoryStore::SaveVote(uint64_t term, const std::string& vote) {
-  if (full) return Full();
+absl::Status MemoryStore::SaveTermAndVote(uint64_t term,
+                                          const std::string& vote) {
+  if (disk_full) return DiskFullError();
   state_.term = term;
   state_.voted_for = vote;
   return absl::OkStatus();
 }
 
-absl::Status MemoryStore::Append(const std::vector<LogEntry>& entries) {
-  if (full) return Full();
+absl::Status MemoryStore::AppendEntries(const std::vector<LogEntry>& entries) {
+  if (disk_full) return DiskFullError();
   for (const LogEntry& e : entries) state_.log.push_back(e);
   return absl::OkStatus();
 }
 
-absl::Status MemoryStore::Truncate(uint64_t index) {
-  if (full) return Full();
+absl::Status MemoryStore::TruncateFrom(uint64_t index) {
+  if (disk_full) return DiskFullError();
   auto& log = state_.log;
   while (!log.empty() && log.back().index >= index) log.pop_back();
   return absl::OkStatus();
 }
 
 absl::Status MemoryStore::Rewrite(const StoredState& state) {
-  if (full) return Full();
+  if (disk_full) return DiskFullError();
   state_ = state;
   return absl::OkStatus();
 }
@@ -45,35 +46,35 @@
   for (int i = 0; i < founders; ++i) {
     seeds_.push_back(absl::StrCat("10.0.0.", i, ":1"));
   }
-  StoredState st;
-  for (const std::string& a : seeds_) {
-    st.snapshot.members.push_back(Member{"founder-" + a, a});
+  StoredState state;
+  for (const std::string& address : seeds_) {
+    state.snapshot.members.push_back(Member{"founder-" + address, address});
   }
   for (int i = 0; i < founders; ++i) {
     Host h;
     h.address = seeds_[static_cast<size_t>(i)];
     h.store = std::make_unique<MemoryStore>();
-    st.self = st.snapshot.members[static_cast<size_t>(i)];
-    h.store->Rewrite(st).IgnoreError();
-    nodes_.push_back(std::move(h));
+    state.self = state.snapshot.members[static_cast<size_t>(i)];
+    h.store->Rewrite(state).IgnoreError();
+    hosts_.push_back(std::move(h));
     Start(i);
   }
 }
 
 int Group::AddJoiner() {
   Host h;
-  h.address = absl::StrCat("10.0.0.", nodes_.size(), ":1");
+  h.address = absl::StrCat("10.0.0.", hosts_.size(), ":1");
   h.store = std::make_unique<MemoryStore>();
-  StoredState st;
-  st.self = Member{absl::StrCat("id-", random()), h.address};
-  h.store->Rewrite(st).IgnoreError();
-  nodes_.push_back(std::move(h));
+  StoredState state;
+  state.self = Member{absl::StrCat("id-", random()), h.address};
+  h.store->Rewrite(state).IgnoreError();
+  hosts_.push_back(std::move(h));
   Start(size() - 1);
   return size() - 1;
 }
 
 void Group::Start(int n) {
-  Host& h = nodes_[static_cast<size_t>(n)];
+  Host& h = hosts_[static_cast<size_t>(n)];
   if (h.replica || h.removed) return;
   h.frozen = false;
   Replica::Hooks hooks;
@@ -85,35 +86,37 @@
 }
 
 void Group::Kill(int n) {
-  nodes_[static_cast<size_t>(n)].replica.reset();
-  flights_.erase(std::remove_if(flights_.begin(), flights_.end(),
-                                [&](const Flight& f) { return f.to == n; }),
-                 flights_.end());
+  hosts_[static_cast<size_t>(n)].replica.reset();
+  in_flight_.erase(
+      std::remove_if(in_flight_.begin(), in_flight_.end(),
+                     [&](const InFlightMessage& f) { return f.to == n; }),
+      in_flight_.end());
 }
 
 void Group::Wipe(int n) {
   Kill(n);
-  Host& h = nodes_[static_cast<size_t>(n)];
-  StoredState st;
-  st.self = Member{absl::StrCat("wiped-", n, "-", ++h.wipes), h.address};
+  Host& h = hosts_[static_cast<size_t>(n)];
+  StoredState state;
+  state.self =
+      Member{absl::StrCat("wiped-", n, "-", ++h.wipe_count), h.address};
   h.store = std::make_unique<MemoryStore>();
-  h.store->Rewrite(st).IgnoreError();
+  h.store->Rewrite(state).IgnoreError();
 }
 
 void Group::Remove(int n) {
   Kill(n);
-  nodes_[static_cast<size_t>(n)].removed = true;
+  hosts_[static_cast<size_t>(n)].removed = true;
 }
 
 void Group::Freeze(int n, bool frozen) {
-  nodes_[static_cast<size_t>(n)].frozen = frozen;
+  hosts_[static_cast<size_t>(n)].frozen = frozen;
 }
 
 void Group::Cut(int a, int b, bool cut) {
   if (cut) {
-    cuts_.emplace(a, b);
+    cut_links_.emplace(a, b);
   } else {
-    cuts_.erase({a, b});
+    cut_links_.erase({a, b});
   }
 }
 
@@ -125,66 +128,71 @@
   }
 }
 
-void Group::HealAll() { cuts_.clear(); }
+void Group::HealAll() { cut_links_.clear(); }
 
 void Group::Send(int from, const std::string& address,
                  const ReplicaMessage& m) {
   for (int to = 0; to < size(); ++to) {
-    if (nodes_[static_cast<size_t>(to)].address != address) continue;
-    if (cuts_.count({from, to})) return;
-    if (std::uniform_real_distribution<double>(0, 1)(random) < drop) return;
-    std::uniform_int_distribution<int> delay(1, 15);
+    if (hosts_[static_cast<size_t>(to)].address != address) continue;
+    if (cut_links_.count({from, to})) return;
+    if (std::uniform_real_distribution<double>(0, 1)(random) < drop_rate)
+      return;
+    std::uniform_int_distribution<int> delay_ms(1, 15);
     std::string bytes = EncodeMessage(m);
-    TimePoint at = clock.Now() + Millis(delay(random));
+    TimePoint arrives_at = clock.Now() + Millis(delay_ms(random));
     if (bytes_per_s > 0) {
-      at += Millis(static_cast<int64_t>(1000. * bytes.size() / bytes_per_s));
+      arrives_at +=
+          Millis(static_cast<int64_t>(1000. * bytes.size() / bytes_per_s));
     }
     bytes_sent += bytes.size();
-    flights_.push_back(Flight{at, from, to, std::move(bytes)});
+    in_flight_.push_back(
+        InFlightMessage{arrives_at, from, to, std::move(bytes)});
   }
 }
 
-void Group::Deliver() {
-  std::vector<Flight> due;
-  std::vector<Flight> later;
-  for (Flight& f : flights_) {
-    bool held = nodes_[static_cast<size_t>(f.to)].frozen;
-    (f.at <= clock.Now() && !held ? due : later).push_back(std::move(f));
+void Group::DeliverDueMessages() {
+  std::vector<InFlightMessage> due;
+  std::vector<InFlightMessage> not_due;
+  for (InFlightMessage& f : in_flight_) {
+    bool receiver_frozen = hosts_[static_cast<size_t>(f.to)].frozen;
+    (f.arrives_at <= clock.Now() && !receiver_frozen ? due : not_due)
+        .push_back(std::move(f));
   }
-  flights_ = std::move(later);
-  for (Flight& f : due) {
-    Host& h = nodes_[static_cast<size_t>(f.to)];
-    if (!h.replica || cuts_.count({f.from, f.to})) continue;
-    absl::StatusOr<ReplicaMessage> m = DecodeMessage(f.bytes);
-    std::optional<ReplicaMessage> reply = h.replica->Handle(*m);
-    if (reply) Send(f.to, m->from.address, *reply);
+  in_flight_ = std::move(not_due);
+  for (InFlightMessage& f : due) {
+    Host& h = hosts_[static_cast<size_t>(f.to)];
+    if (!h.replica || cut_links_.count({f.from, f.to})) continue;
+    absl::StatusOr<ReplicaMessage> message = DecodeMessage(f.bytes);
+    std::optional<ReplicaMessage> reply = h.replica->Handle(*message);
+    if (reply) Send(f.to, message->from.address, *reply);
   }
 }
 
 void Group::Run(Duration d) {
-  for (Duration done{}; done < d; done += kStep) {
-    clock.Advance(kStep);
-    Deliver();
-    for (Host& h : nodes_) {
+  for (Duration elapsed{}; elapsed < d; elapsed += kTimeStep) {
+    clock.Advance(kTimeStep);
+    DeliverDueMessages();
+    for (Host& h : hosts_) {
       if (h.replica && !h.frozen) h.replica->Tick();
     }
   }
 }
 
 int Group::Leader() {
-  int best = -1;
+  int leader = -1;
   for (int i = 0; i < size(); ++i) {
     if (!running(i) || node(i)->role() != ReplicaRole::kLeader) continue;
-    if (best < 0 || node(i)->term() > node(best)->term()) best = i;
+    if (leader < 0 || node(i)->term() > node(leader)->term()) leader = i;
   }
-  return best;
+  return leader;
 }
 
 int Group::AwaitLeader(Duration d) {
-  for (Duration done{}; done < d; done += Millis(50)) {
+  for (Duration elapsed{}; elapsed < d; elapsed += Millis(50)) {
     Run(Millis(50));
-    int l = Leader();
-    if (l >= 0 && node(l)->LeaderAge() < std::chrono::seconds(1)) return l;
+    int leader = Leader();
+    if (leader >= 0 && node(leader)->LeaderAge() < std::chrono::seconds(1))
+      return leader;
   }
   return -1;
 }
--- a/test/replica_group.h
+++ b/test/replica_group.h
@@ -1,5 +1,5 @@
-// A group of replicas in one process, on a manual clock, with a network and
-// disks that fail by order of the test. Scaffolding for replica tests.
+// Test fixture: a group of replicas in one process with a manual clock and a
+// simulated network and disks whose failures the test controls.
 #ifndef MEDLARWALK_TEST_REPLICA_GROUP_H_
 #define MEDLARWALK_TEST_REPLICA_GROUP_H_
 
@@ -15,55 +15,61 @@
 
 namespace medlarwalk::testing {
 
-// A disk in memory. Every call is synced, as the real store's are.
+// A store in memory. Every call is durable when it returns, as with the real
+// store.
 class MemoryStore : public ReplicaStore {
  public:
-  absl::Status SaveVote(uint64_t term, const std::string& vote) override;
-  absl::Status Append(const std::vector<LogEntry>& entries) override;
-  absl::Status Truncate(uint64_t index) override;
+  absl::Status SaveTermAndVote(uint64_t term, const std::string& vote) override;
+  absl::Status AppendEntries(const std::vector<LogEntry>& entries) override;
+  absl::Status TruncateFrom(uint64_t index) override;
   absl::Status Rewrite(const StoredState& state) override;
   const StoredState& state() const { return state_; }
-  bool full = false;  // Refuses every write.
+  bool disk_full = false;  // If true, every write fails.
 
  private:
   StoredState state_;
 };
 
-// The group. Nodes are named by their address, "10.0.0.N:1".
+// A group of replicas on simulated hosts. Host N has the address "10.0.0.N:1".
 class Group {
  public:
   Group(int founders, uint64_t seed, ReplicaOptions options = {});
 
-  // Adds a host with an empty disk that joins through the seeds.
+  // Adds a host with an empty disk that joins through the seeds. Returns its
+  // number.
   int AddJoiner();
-  // Lets `d` pass in small steps, delivering messages.
+  // Advances the clock by `d` in small steps and delivers messages.
   void Run(Duration d);
   void Kill(int n);
-  void Start(int n);   // With the disk it had.
-  void Wipe(int n);    // Kills it; it starts again with an empty disk.
-  void Remove(int n);  // Gone for good.
-  void Freeze(int n, bool frozen);  // Neither ticks nor hears; keeps messages.
-  // Cuts `a` off from `b`, one way.
+  void Start(int n);   // Starts the host with its stored state.
+  void Wipe(int n);    // Kills the host and empties its disk.
+  void Remove(int n);  // Kills the host; it can never be started again.
+  // A frozen host neither ticks nor handles messages; they stay queued.
+  void Freeze(int n, bool frozen);
+  // Drops (or no longer drops) messages from `a` to `b`, in this direction
+  // only.
   void Cut(int a, int b, bool cut);
+  // Cuts or restores all links of host `n`, in both directions.
   void Isolate(int n, bool cut);
   void HealAll();
 
-  Replica* node(int n) { return nodes_[static_cast<size_t>(n)].replica.get(); }
-  MemoryStore& store(int n) { return *nodes_[static_cast<size_t>(n)].store; }
-  int size() const { return static_cast<int>(nodes_.size()); }
+  Replica* node(int n) { return hosts_[static_cast<size_t>(n)].replica.get(); }
+  MemoryStore& store(int n) { return *hosts_[static_cast<size_t>(n)].store; }
+  int size() const { return static_cast<int>(hosts_.size()); }
   bool running(int n) const {
-    return nodes_[static_cast<size_t>(n)].replica != nullptr &&
-           !nodes_[static_cast<size_t>(n)].frozen;
+    return hosts_[static_cast<size_t>(n)].replica != nullptr &&
+           !hosts_[static_cast<size_t>(n)].frozen;
   }
-  // The running leader of the highest term, or -1.
+  // Returns the running leader with the highest term, or -1.
   int Leader();
-  // Waits up to `d` for a leader that can commit; -1 if none.
+  // Runs for up to `d` until there is a leader that can commit. Returns its
+  // number, or -1.
   int AwaitLeader(Duration d);
 
   ManualClock clock;
-  double drop = 0;  // Share of messages lost.
-  // How fast a message's bytes arrive; 0: at once. Small messages overtake
-  // large ones, as on a link with streams.
+  double drop_rate = 0;  // Fraction of messages that are lost.
+  // Transfer rate of each message; 0 means unlimited. Small messages overtake
+  // large ones, as on a link with multiplexed streams.
   double bytes_per_s = 0;
   size_t bytes_sent = 0;
   std::mt19937_64 random;
@@ -75,22 +81,22 @@
     std::unique_ptr<Replica> replica;
     bool frozen = false;
     bool removed = false;
-    int wipes = 0;
+    int wipe_count = 0;
   };
-  struct Flight {
-    TimePoint at;
+  struct InFlightMessage {
+    TimePoint arrives_at;
     int from;
     int to;
     std::string bytes;
   };
   void Send(int from, const std::string& address, const ReplicaMessage& m);
-  void Deliver();
+  void DeliverDueMessages();
 
   ReplicaOptions options_;
   std::vector<std::string> seeds_;
-  std::vector<Host> nodes_;
-  std::vector<Flight> flights_;
-  std::set<std::pair<int, int>> cuts_;
+  std::vector<Host> hosts_;
+  std::vector<InFlightMessage> in_flight_;
+  std::set<std::pair<int, int>> cut_links_;
 };
 
 }  // namespace medlarwalk::testing
--- a/test/replica_store_test.cc
+++ b/test/replica_store_test.cc
@@ -1,5 +1,6 @@
-// The replica's file: what was synced is read back; a torn, missing or
-// spoiled tail ends it without an error and without inventing anything.
+// FileReplicaStore and the replica codec: synced records are read back. Torn,
+// missing or corrupt data at the end of the file causes no error and yields no
+// record that was not written.
 #include "replica_store.h"
 
 #include <fstream>
@@ -16,40 +17,41 @@
 
 namespace {
 
-LogEntry Entry(uint64_t index, int64_t version) {
+LogEntry ConfigEntry(uint64_t index, int64_t version) {
   LogEntry e;
   e.index = index;
   e.term = 1;
   e.kind = EntryKind::kConfig;
   e.version = version;
-  e.data = std::make_shared<const std::string>(
+  e.config = std::make_shared<const std::string>(
       absl::StrCat("doc ", version, std::string(50, 'x')));
   return e;
 }
 
-StoredState Fresh() {
+StoredState NewState() {
   StoredState s;
   s.self = Member{"id", "10.0.0.1:1"};
   s.snapshot.members = {s.self};
   return s;
 }
 
-std::string ReadAll(const std::string& path) {
+std::string ReadWholeFile(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   std::stringstream buf;
   buf << in.rdbuf();
   return buf.str();
 }
 
-// A folder whose file holds ten entries.
-std::string TenEntries() {
+// Returns a new directory whose store holds ten entries.
+std::string DirWithTenEntries() {
   std::string dir = TempDir();
   FileReplicaStore store(dir);
   CHECK_TRUE(absl::IsNotFound(store.Load().status()));
-  CHECK_TRUE(store.Rewrite(Fresh()).ok());
-  CHECK_TRUE(store.SaveVote(1, "id").ok());
+  CHECK_TRUE(store.Rewrite(NewState()).ok());
+  CHECK_TRUE(store.SaveTermAndVote(1, "id").ok());
   for (uint64_t i = 1; i <= 10; ++i) {
-    CHECK_TRUE(store.Append({Entry(i, static_cast<int64_t>(i))}).ok());
+    CHECK_TRUE(
+        store.AppendEntries({ConfigEntry(i, static_cast<int64_t>(i))}).ok());
   }
   return dir;
 }
@@ -58,73 +60,73 @@
 
 TEST_GROUP(replica_store){};
 
-TEST(replica_store, ReadsBackWhatWasWritten) {
-  std::string dir = TenEntries();
+TEST(replica_store, ReadsBackWrittenState) {
+  std::string dir = DirWithTenEntries();
   FileReplicaStore store(dir);
-  absl::StatusOr<StoredState> s = store.Load();
-  CHECK_TRUE(s.ok());
-  LONGS_EQUAL(10, s->log.size());
-  LONGS_EQUAL(1, s->term);
-  STRCMP_EQUAL("id", s->voted_for.c_str());
-  CHECK_TRUE(store.Truncate(6).ok());
-  CHECK_TRUE(store.Append({Entry(6, 60)}).ok());
-  FileReplicaStore again(dir);
-  s = again.Load();
-  LONGS_EQUAL(6, s->log.size());
-  LONGS_EQUAL(60, s->log.back().version);
+  absl::StatusOr<StoredState> state = store.Load();
+  CHECK_TRUE(state.ok());
+  LONGS_EQUAL(10, state->log.size());
+  LONGS_EQUAL(1, state->term);
+  STRCMP_EQUAL("id", state->voted_for.c_str());
+  CHECK_TRUE(store.TruncateFrom(6).ok());
+  CHECK_TRUE(store.AppendEntries({ConfigEntry(6, 60)}).ok());
+  FileReplicaStore reopened(dir);
+  state = reopened.Load();
+  LONGS_EQUAL(6, state->log.size());
+  LONGS_EQUAL(60, state->log.back().version);
 }
 
-// Symptom: after a loss of power the process does not start, or starts
-// without what it had acknowledged. Sequence: power goes while the newest
-// record is being written. Cause: that record is torn at any byte; the
-// reader must keep all before it, and what is appended next must not follow
-// the torn bytes.
-TEST(replica_store, ATornTailCostsOnlyTheTornRecord) {
-  std::string dir = TenEntries();
-  std::string whole = ReadAll(dir + "/replica.log");
-  for (size_t cut = whole.size() - 120; cut < whole.size(); ++cut) {
+// Guards against a process that does not start after a power loss, or that
+// loses acknowledged entries. A power loss during a write may tear the newest
+// record at any byte. The reader must keep all earlier records, and the next
+// record must replace the torn bytes.
+TEST(replica_store, TornTailLosesOnlyTheTornRecord) {
+  std::string dir = DirWithTenEntries();
+  std::string intact = ReadWholeFile(dir + "/replica.log");
+  for (size_t cut = intact.size() - 120; cut < intact.size(); ++cut) {
     std::ofstream(dir + "/replica.log", std::ios::binary)
-        << whole.substr(0, cut);
+        << intact.substr(0, cut);
     FileReplicaStore store(dir);
-    absl::StatusOr<StoredState> s = store.Load();
-    CHECK_TRUE(s.ok());
-    size_t kept = s->log.size();
+    absl::StatusOr<StoredState> state = store.Load();
+    CHECK_TRUE(state.ok());
+    size_t kept = state->log.size();
     CHECK_TRUE(kept >= 8 && kept < 10);
-    CHECK_TRUE(store.Append({Entry(kept + 1, 99)}).ok());
-    FileReplicaStore again(dir);
-    s = again.Load();
-    LONGS_EQUAL(kept + 1, s->log.size());
-    LONGS_EQUAL(99, s->log.back().version);
+    CHECK_TRUE(store.AppendEntries({ConfigEntry(kept + 1, 99)}).ok());
+    FileReplicaStore reopened(dir);
+    state = reopened.Load();
+    LONGS_EQUAL(kept + 1, state->log.size());
+    LONGS_EQUAL(99, state->log.back().version);
   }
 }
 
-// Hundreds of changes, then a restart: the state is there.
-TEST(replica_store, RestartAfterHundredsOfChanges) {
+// After hundreds of appends and a restart, the last entry is still there.
+TEST(replica_store, RestartKeepsHundredsOfEntries) {
   std::string dir = TempDir();
   {
     FileReplicaStore store(dir);
-    CHECK_TRUE(store.Rewrite(Fresh()).ok());
+    CHECK_TRUE(store.Rewrite(NewState()).ok());
     for (uint64_t i = 1; i <= 400; ++i) {
-      CHECK_TRUE(store.Append({Entry(i, static_cast<int64_t>(i))}).ok());
+      CHECK_TRUE(
+          store.AppendEntries({ConfigEntry(i, static_cast<int64_t>(i))}).ok());
     }
   }
   FileReplicaStore store(dir);
-  absl::StatusOr<StoredState> s = store.Load();
-  CHECK_TRUE(s.ok());
-  LONGS_EQUAL(400, s->log.back().version);
+  absl::StatusOr<StoredState> state = store.Load();
+  CHECK_TRUE(state.ok());
+  LONGS_EQUAL(400, state->log.back().version);
 }
 
-// Fuzz: bit flips, cuts and random bytes in the file never crash the reader,
-// and it never returns a record that was not written.
-TEST(replica_store, FuzzedFilesGiveOnlyWrittenRecords) {
-  std::string dir = TenEntries();
-  std::string whole = ReadAll(dir + "/replica.log");
-  size_t taken = 0;
-  std::vector<nlohmann::json> written = ReadRecords(whole, &taken);
-  LONGS_EQUAL(whole.size(), taken);
+// Fuzzing: bit flips, truncation and random bytes in the file never crash the
+// reader, and it returns only records that were written.
+TEST(replica_store, FuzzedFilesYieldOnlyWrittenRecords) {
+  std::string dir = DirWithTenEntries();
+  std::string intact = ReadWholeFile(dir + "/replica.log");
+  size_t valid_bytes = 0;
+  std::vector<nlohmann::json> written = ReadRecords(intact, &valid_bytes);
+  LONGS_EQUAL(intact.size(), valid_bytes);
   std::mt19937_64 random(42);
   for (int i = 0; i < 10000; ++i) {
-    std::string bytes = whole;
+    std::string bytes = intact;
     int flips = 1 + static_cast<int>(random() % 4);
     for (int k = 0; k < flips; ++k) {
       bytes[random() % bytes.size()] ^= static_cast<char>(1 << (random() % 8));
@@ -133,36 +135,37 @@
     if (random() % 5 == 0) {
       for (char& c : bytes) c = static_cast<char>(random());
     }
-    std::vector<nlohmann::json> got = ReadRecords(bytes, &taken);
-    CHECK_TRUE(got.size() <= written.size());
-    for (size_t k = 0; k < got.size(); ++k) CHECK_TRUE(got[k] == written[k]);
+    std::vector<nlohmann::json> read = ReadRecords(bytes, &valid_bytes);
+    CHECK_TRUE(read.size() <= written.size());
+    for (size_t k = 0; k < read.size(); ++k) CHECK_TRUE(read[k] == written[k]);
   }
 }
 
-// Fuzz: messages between control processes.
-// Found by fuzzing. Symptom: a process ends by its stack. Sequence: a message
-// of nothing but opening arrays, far below the size allowed. Cause: the library
-// reads what is nested by recursion.
-TEST(replica_store, DeeplyNestedBytesAreAnError) {
+// Guards against a stack overflow found by fuzzing. The JSON library parses
+// nested values recursively, so a message of only opening arrays crashed the
+// process, although the message was far below the size limit.
+TEST(replica_store, DeeplyNestedCborIsAnError) {
   CHECK_FALSE(FromCbor(std::string(size_t{1} << 20, '\x81')).ok());
   CHECK_FALSE(FromCbor(std::string(size_t{1} << 20, '\x9f')).ok());
 }
 
-TEST(replica_store, FuzzedMessagesAreErrorsOrMessages) {
+// Fuzzing: corrupt messages between control processes either decode or give
+// InvalidArgument.
+TEST(replica_store, FuzzedMessagesDecodeOrGiveInvalidArgument) {
   ReplicaMessage m;
   m.type = ReplicaMessage::Type::kAppend;
   m.from = Member{"id", "10.0.0.1:1"};
-  m.entries = {Entry(1, 1), Entry(2, 2)};
+  m.entries = {ConfigEntry(1, 1), ConfigEntry(2, 2)};
   m.snapshot = Snapshot{};
   m.members = {m.from};
-  std::string whole = EncodeMessage(m);
-  CHECK_TRUE(DecodeMessage(whole).ok());
+  std::string intact = EncodeMessage(m);
+  CHECK_TRUE(DecodeMessage(intact).ok());
   std::mt19937_64 random(43);
   for (int i = 0; i < 10000; ++i) {
-    std::string bytes = whole;
+    std::string bytes = intact;
     bytes[random() % bytes.size()] = static_cast<char>(random());
     if (random() % 2) bytes.resize(random() % bytes.size());
-    absl::StatusOr<ReplicaMessage> d = DecodeMessage(bytes);
-    if (!d.ok()) CHECK_TRUE(absl::IsInvalidArgument(d.status()));
+    absl::StatusOr<ReplicaMessage> decoded = DecodeMessage(bytes);
+    if (!decoded.ok()) CHECK_TRUE(absl::IsInvalidArgument(decoded.status()));
   }
 }
--- a/test/replica_test.cc
+++ b/test/replica_test.cc
@@ -1,5 +1,6 @@
-// The replicated log: what was acknowledged is never lost or shown older,
-// under kills, lost disks, cuts, freezes, full disks and changes of members.
+// The replicated log: an acknowledged change is never lost, and no read returns
+// an older state. Faults: killed and frozen hosts, lost and full disks, network
+// partitions and membership changes.
 #include "replica.h"
 
 #include <functional>
@@ -14,32 +15,35 @@
 
 namespace {
 
-constexpr auto kElection = std::chrono::seconds(5);
+constexpr auto kMaxLeaderWait = std::chrono::seconds(5);
 
-// Proposes `version` at the leader and runs until it is acknowledged or given
-// up. Returns whether it was acknowledged.
-bool Put(Group& g, int64_t version, Duration wait = std::chrono::seconds(3)) {
-  int l = g.Leader();
-  if (l < 0) return false;
+// Proposes `version` at the leader and runs the group until the proposal
+// completes or `wait` has passed. Returns whether it was acknowledged.
+bool ProposeAndWait(Group& g, int64_t version,
+                    Duration wait = std::chrono::seconds(3)) {
+  int leader = g.Leader();
+  if (leader < 0) return false;
   auto result = std::make_shared<std::optional<bool>>();
-  g.node(l)->Propose(
+  g.node(leader)->Propose(
       version,
       std::make_shared<const std::string>(absl::StrCat("doc-", version)),
       [result](absl::Status s) { *result = s.ok(); });
-  for (Duration d{}; d < wait && !result->has_value(); d += Millis(20)) {
+  for (Duration elapsed{}; elapsed < wait && !result->has_value();
+       elapsed += Millis(20)) {
     g.Run(Millis(20));
   }
   return result->value_or(false);
 }
 
-// Runs until a leader is in office; how long that took.
-Duration TimeToLeader(Group& g) {
-  TimePoint began = g.clock.Now();
-  while (g.Leader() < 0 || g.node(g.Leader())->StepAge() > kElection) {
+// Runs the group until it has a leader that is up to date. Returns the time
+// that this took.
+Duration MeasureTimeToLeader(Group& g) {
+  TimePoint start = g.clock.Now();
+  while (g.Leader() < 0 || g.node(g.Leader())->StepAge() > kMaxLeaderWait) {
     g.Run(Millis(10));
-    if (g.clock.Now() - began > kElection) FAIL("no leader");
+    if (g.clock.Now() - start > kMaxLeaderWait) FAIL("no leader");
   }
-  return g.clock.Now() - began;
+  return g.clock.Now() - start;
 }
 
 struct ElectionTimes {
@@ -47,28 +51,30 @@
   Duration worst{};
 };
 
-// How long a group of three is without a leader after `restart` has stopped
-// and started it, over seeds from 1 on.
-ElectionTimes TimeElections(int seeds,
-                            const std::function<void(Group&)>& restart) {
-  ElectionTimes t;
+// Measures how long a group of three has no leader after `restart` has stopped
+// and started it. Runs once for each seed from 1 to `seeds`.
+ElectionTimes MeasureElectionTimes(int seeds,
+                                   const std::function<void(Group&)>& restart) {
+  ElectionTimes times;
   for (int seed = 1; seed <= seeds; ++seed) {
     Group g(3, static_cast<uint64_t>(seed));
-    CHECK_TRUE(g.AwaitLeader(kElection) >= 0);
+    CHECK_TRUE(g.AwaitLeader(kMaxLeaderWait) >= 0);
     restart(g);
-    Duration took = TimeToLeader(g);
-    t.mean += took / seeds;
-    t.worst = std::max(t.worst, took);
+    Duration time_to_leader = MeasureTimeToLeader(g);
+    times.mean += time_to_leader / seeds;
+    times.worst = std::max(times.worst, time_to_leader);
   }
-  return t;
+  return times;
 }
 
-// Reads at node `n` with a barrier; nullopt when it cannot tell.
-std::optional<int64_t> ReadAt(Group& g, int n,
-                              Duration wait = std::chrono::seconds(2)) {
+// Reads the configuration version at host `n` after a read barrier. Returns
+// nullopt if the barrier fails.
+std::optional<int64_t> ReadVersionAt(Group& g, int n,
+                                     Duration wait = std::chrono::seconds(2)) {
   auto result = std::make_shared<std::optional<bool>>();
   g.node(n)->ReadBarrier([result](absl::Status s) { *result = s.ok(); });
-  for (Duration d{}; d < wait && !result->has_value(); d += Millis(20)) {
+  for (Duration elapsed{}; elapsed < wait && !result->has_value();
+       elapsed += Millis(20)) {
     g.Run(Millis(20));
     if (!g.node(n)) return std::nullopt;
   }
@@ -80,169 +86,171 @@
 
 TEST_GROUP(replica){};
 
-// The plain path: founders elect one leader, which commits, and all follow.
+// Without faults, the founders elect a leader, and its commit reaches all of
+// them.
 TEST(replica, FoundersElectAndCommit) {
   Group g(3, 1);
-  CHECK_TRUE(g.AwaitLeader(kElection) >= 0);
-  CHECK_TRUE(Put(g, 7));
+  CHECK_TRUE(g.AwaitLeader(kMaxLeaderWait) >= 0);
+  CHECK_TRUE(ProposeAndWait(g, 7));
   g.Run(Millis(300));
   for (int i = 0; i < 3; ++i) LONGS_EQUAL(7, g.node(i)->config_version());
 }
 
-// Symptom: after a host has lost its disk, a configuration that was
-// acknowledged is gone. Sequence: A and B hold it, C was cut off and missed
-// it; B comes back with an empty disk while A is dark; the cut heals. Cause:
-// B, knowing nothing, would vote for C, and the two would be a majority. It
-// must not: it comes back under a new id, outside the group.
-TEST(replica, AWipedHostDoesNotVoteOnAForgottenPast) {
+// Guards against the loss of an acknowledged configuration after a host lost
+// its disk. A and B hold the configuration, and C missed it behind a partition.
+// A goes down, B restarts with an empty disk, and the partition heals. If B
+// kept its identity, it would vote for C, and the two would be a quorum without
+// the configuration. B must therefore restart with a new id, outside the group.
+TEST(replica, WipedHostDoesNotVote) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     Group g(3, seed);
-    int l = g.AwaitLeader(kElection);
-    CHECK_TRUE(l >= 0);
-    int behind = (l + 1) % 3;
-    int other = (l + 2) % 3;
+    int leader = g.AwaitLeader(kMaxLeaderWait);
+    CHECK_TRUE(leader >= 0);
+    int behind = (leader + 1) % 3;
+    int other = (leader + 2) % 3;
     g.Isolate(behind, true);
-    CHECK_TRUE(Put(g, 7));
-    g.Kill(l);
+    CHECK_TRUE(ProposeAndWait(g, 7));
+    g.Kill(leader);
     g.Wipe(other);
     g.Start(other);
     g.HealAll();
     g.Run(std::chrono::seconds(8));
     LONGS_EQUAL(-1, g.Leader());
-    // The host that still has it is back: the group goes on with it, and
-    // takes the wiped host in anew.
-    g.Start(l);
-    CHECK_TRUE(g.AwaitLeader(kElection) >= 0);
+    // When the host with the configuration is back, the group works again and
+    // admits the wiped host as a new member.
+    g.Start(leader);
+    CHECK_TRUE(g.AwaitLeader(kMaxLeaderWait) >= 0);
     g.Run(std::chrono::seconds(3));
     LONGS_EQUAL(7, g.node(behind)->config_version());
     LONGS_EQUAL(7, g.node(other)->config_version());
   }
 }
 
-// Symptom: after one host was replaced, the loss of a second stops all
-// changes. Sequence: a host is gone for good, an empty one joins at another
-// address, later another host goes. Cause: the dead member still counted
-// toward the quorum.
+// Guards against a group that accepts no changes after it lost a second host. A
+// host is lost for good, an empty one joins at another address, and later
+// another host fails. The first dead member must no longer count toward the
+// quorum.
 TEST(replica, ReplacedHostsDoNotRaiseTheQuorum) {
   Group g(4, 3);
-  CHECK_TRUE(g.AwaitLeader(kElection) >= 0);
-  CHECK_TRUE(Put(g, 1));
+  CHECK_TRUE(g.AwaitLeader(kMaxLeaderWait) >= 0);
+  CHECK_TRUE(ProposeAndWait(g, 1));
   for (int round = 0; round < 4; ++round) {
-    int gone = round;
-    g.Remove(gone);
+    int removed = round;
+    g.Remove(removed);
     g.AddJoiner();
     g.Run(std::chrono::seconds(10));
-    CHECK_TRUE(g.AwaitLeader(kElection) >= 0);
-    CHECK_TRUE(Put(g, 2 + round));
+    CHECK_TRUE(g.AwaitLeader(kMaxLeaderWait) >= 0);
+    CHECK_TRUE(ProposeAndWait(g, 2 + round));
   }
-  int l = g.Leader();
-  CHECK_TRUE(g.node(l)->members().size() <= 4);
-  g.Kill((l == 4) ? 5 : 4);
-  CHECK_TRUE(g.AwaitLeader(kElection) >= 0);
-  CHECK_TRUE(Put(g, 10));
+  int leader = g.Leader();
+  CHECK_TRUE(g.node(leader)->members().size() <= 4);
+  g.Kill((leader == 4) ? 5 : 4);
+  CHECK_TRUE(g.AwaitLeader(kMaxLeaderWait) >= 0);
+  CHECK_TRUE(ProposeAndWait(g, 10));
 }
 
-// Symptom: a leader that was frozen answers a read with an old version just
-// after it woke. Sequence: the leader freezes, another is elected and commits,
-// the old one wakes and is asked. Cause: it believed in its office by a clock
-// that had stood still; the barrier asks the others after the read came in.
-TEST(replica, AFrozenLeaderAnswersNothingStale) {
+// Guards against stale reads from a leader that was frozen. While it is frozen,
+// another leader is elected and commits. The old leader may still consider
+// itself the leader when it resumes, because its clock stood still. The read
+// barrier therefore asks the other members after the read has arrived.
+TEST(replica, FrozenLeaderGivesNoStaleReads) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     Group g(3, seed);
-    int old = g.AwaitLeader(kElection);
-    CHECK_TRUE(Put(g, 1));
-    g.Freeze(old, true);
+    int old_leader = g.AwaitLeader(kMaxLeaderWait);
+    CHECK_TRUE(ProposeAndWait(g, 1));
+    g.Freeze(old_leader, true);
     g.Run(std::chrono::seconds(4));
-    CHECK_TRUE(g.AwaitLeader(kElection) >= 0);
-    CHECK_TRUE(Put(g, 2));
-    g.Freeze(old, false);
-    std::optional<int64_t> v = ReadAt(g, old);
-    CHECK_TRUE(!v || *v >= 2);
+    CHECK_TRUE(g.AwaitLeader(kMaxLeaderWait) >= 0);
+    CHECK_TRUE(ProposeAndWait(g, 2));
+    g.Freeze(old_leader, false);
+    std::optional<int64_t> version = ReadVersionAt(g, old_leader);
+    CHECK_TRUE(!version || *version >= 2);
   }
 }
 
-// Symptom: a host that was cut off for long unseats the working leader when
-// it returns. Cause: its term had grown with each vain election; it asks
-// first whether it could win (pre-vote) and does not raise its term.
-TEST(replica, AReturningHostDoesNotUnseatTheLeader) {
+// Guards against a host that deposes a working leader when it returns from a
+// long partition. Without pre-vote, each failed election would raise the host's
+// term. With pre-vote, it first asks whether it could win and keeps its term.
+TEST(replica, ReturningHostDoesNotDeposeTheLeader) {
   Group g(3, 5);
-  int l = g.AwaitLeader(kElection);
-  uint64_t term = g.node(l)->term();
-  g.Isolate((l + 1) % 3, true);
+  int leader = g.AwaitLeader(kMaxLeaderWait);
+  uint64_t term = g.node(leader)->term();
+  g.Isolate((leader + 1) % 3, true);
   g.Run(std::chrono::seconds(5));
   g.HealAll();
   g.Run(std::chrono::seconds(3));
-  LONGS_EQUAL(l, g.Leader());
-  LONGS_EQUAL(term, g.node(l)->term());
+  LONGS_EQUAL(leader, g.Leader());
+  LONGS_EQUAL(term, g.node(leader)->term());
 }
 
-// Symptom: no change is accepted although two of three disks work. Cause: the
-// leader's disk refuses writes; it must step down and leave the office to a
-// host that can write.
-TEST(replica, ALeaderWithAFullDiskStepsDown) {
+// Guards against a group that accepts no changes although two of three disks
+// work. A leader whose disk rejects writes must step down, so that a host with
+// a working disk becomes leader.
+TEST(replica, LeaderWithFullDiskStepsDown) {
   Group g(3, 6);
-  int l = g.AwaitLeader(kElection);
-  g.store(l).full = true;
-  CHECK_FALSE(Put(g, 1, Millis(500)));
-  CHECK_TRUE(g.AwaitLeader(kElection) >= 0);
-  CHECK_TRUE(g.Leader() != l);
-  CHECK_TRUE(Put(g, 2));
+  int leader = g.AwaitLeader(kMaxLeaderWait);
+  g.store(leader).disk_full = true;
+  CHECK_FALSE(ProposeAndWait(g, 1, Millis(500)));
+  CHECK_TRUE(g.AwaitLeader(kMaxLeaderWait) >= 0);
+  CHECK_TRUE(g.Leader() != leader);
+  CHECK_TRUE(ProposeAndWait(g, 2));
 }
 
-// A joiner far behind gets the folded state, not entries that are gone.
-TEST(replica, AJoinerCatchesUpFromASnapshot) {
+// A joining replica receives a snapshot if the log entries that it lacks have
+// been compacted.
+TEST(replica, JoinerCatchesUpFromSnapshot) {
   ReplicaOptions o;
   o.compact_entries = 8;
   Group g(3, 7, o);
-  CHECK_TRUE(g.AwaitLeader(kElection) >= 0);
-  for (int v = 1; v <= 40; ++v) CHECK_TRUE(Put(g, v));
+  CHECK_TRUE(g.AwaitLeader(kMaxLeaderWait) >= 0);
+  for (int v = 1; v <= 40; ++v) CHECK_TRUE(ProposeAndWait(g, v));
   int n = g.AddJoiner();
   g.Run(std::chrono::seconds(3));
   LONGS_EQUAL(40, g.node(n)->config_version());
   LONGS_EQUAL(4, g.node(g.Leader())->members().size());
 }
 
-// Symptom: an entry that was just restarted serves from a configuration that
-// was replaced long ago. Sequence: all hosts stop and start, one of them with
-// an empty disk; an entry asks while the group is just coming up. Cause: a
-// replica counted as in step as soon as it had heard a leader, though it had
-// not applied what that leader knows to be committed, or the leader itself had
-// committed nothing yet.
-TEST(replica, InStepOnlyWithAllThatIsCommitted) {
+// Guards against a restarted entry process that serves from an old
+// configuration. All hosts restart, one of them with an empty disk, and the
+// entry asks a replica while the group is forming. Contact with a leader does
+// not make a replica up to date: it may not have applied all that the leader
+// knows to be committed, or the leader may not have committed anything in its
+// term.
+TEST(replica, UpToDateOnlyWithAllCommittedEntries) {
   for (uint64_t seed = 1; seed <= 40; ++seed) {
     ReplicaOptions o;
     o.compact_entries = 8;
     o.batch_bytes = 200;  // Catching up takes many messages.
     Group g(3, seed, o);
-    CHECK_TRUE(g.AwaitLeader(kElection) >= 0);
-    for (int v = 1; v <= 30; ++v) CHECK_TRUE(Put(g, v));
+    CHECK_TRUE(g.AwaitLeader(kMaxLeaderWait) >= 0);
+    for (int v = 1; v <= 30; ++v) CHECK_TRUE(ProposeAndWait(g, v));
     for (int i = 0; i < 3; ++i) g.Kill(i);
     int wiped = static_cast<int>(seed % 3);
     g.Wipe(wiped);
     for (int i = 0; i < 3; ++i) g.Start(i);
-    bool all_in_step = false;
+    bool all_up_to_date = false;
     for (int step = 0; step < 600; ++step) {
       g.Run(Millis(10));
-      all_in_step = true;
+      all_up_to_date = true;
       for (int i = 0; i < 3; ++i) {
         if (g.node(i)->StepAge() > std::chrono::seconds(1)) {
-          all_in_step = false;
+          all_up_to_date = false;
         } else {
           LONGS_EQUAL(30, g.node(i)->config_version());
         }
       }
     }
-    CHECK_TRUE(all_in_step);
+    CHECK_TRUE(all_up_to_date);
   }
 }
 
-// Symptom: after all processes were stopped at once, callers wait 0.2 s longer
-// than the processes need to start. Sequence: every replica starts at the same
-// moment; each waits before it asks for votes. Cause: that wait was as long as
-// if a leader might be about; none can be while nobody has heard one.
-TEST(replica, AllStartedAtOnceHaveALeaderSoon) {
-  ElectionTimes t = TimeElections(40, [](Group& g) {
-    CHECK_TRUE(Put(g, 1));
+// Guards against an outage that lasts 0.2 s longer than the processes need to
+// start, after all were stopped at once. All replicas start at the same time
+// and wait before they request votes. This wait was as long as if a leader
+// could exist, but there is none before any replica has had contact with one.
+TEST(replica, SimultaneousStartElectsLeaderQuickly) {
+  ElectionTimes t = MeasureElectionTimes(40, [](Group& g) {
+    CHECK_TRUE(ProposeAndWait(g, 1));
     for (int i = 0; i < 3; ++i) g.Kill(i);
     for (int i = 0; i < 3; ++i) g.Start(i);
   });
@@ -250,13 +258,13 @@
   CHECK_TRUE(t.worst < Millis(600));
 }
 
-// Symptom: after all processes were stopped at once and one of four hosts lost
-// its disk, there is no leader for a second. Sequence: the three others start
-// together and all three votes are needed; two of them ask at the same moment.
-// Cause: both win the round that only asks, then each votes for itself; the
-// next try comes later each time. Of two that ask at once, one gives way.
-TEST(replica, TwoThatAskAtOnceDoNotSplitTheVotes) {
-  ElectionTimes t = TimeElections(60, [](Group& g) {
+// Guards against a group without a leader for a second after all processes were
+// stopped at once and one of four hosts lost its disk. The other three start
+// together, and all three votes are needed. If two of them send pre-votes at
+// the same time, both win the pre-vote and then vote for themselves, and each
+// retry waits longer. Of two concurrent candidates, one must therefore yield.
+TEST(replica, ConcurrentCandidatesDoNotSplitTheVote) {
+  ElectionTimes t = MeasureElectionTimes(60, [](Group& g) {
     g.AddJoiner();
     g.Run(std::chrono::seconds(3));
     LONGS_EQUAL(4, g.node(g.Leader())->members().size());
@@ -268,46 +276,48 @@
   CHECK_TRUE(t.worst < Millis(800));
 }
 
-// Differential test against a single copy that never fails. Random histories
-// of changes and reads under random faults within the tolerance of one lost
-// disk: every read that is answered shows at least what was acknowledged
-// before it began, and after all faults the newest acknowledged version is
-// there.
-TEST(replica, RandomHistoriesAgreeWithASingleCopy) {
+// Differential test against a single copy that never fails. Runs random changes
+// and reads under random faults, with at most one lost disk at a time. Every
+// answered read returns at least the newest version that was acknowledged
+// before the read began. After all faults, the newest acknowledged version is
+// still there.
+TEST(replica, RandomHistoriesAgreeWithSingleCopy) {
   for (uint64_t seed = 1; seed <= 150; ++seed) {
     Group g(3, seed);
     if (seed % 2) g.AddJoiner();
-    int64_t naive = 0;  // The single copy: the newest acknowledged version.
-    int64_t next = 1;
-    std::uniform_int_distribution<int> pick(0, 99);
+    int64_t newest_acked = 0;  // State of the single copy.
+    int64_t next_version = 1;
+    std::uniform_int_distribution<int> percent(0, 99);
     TimePoint wiped_at{};
-    g.drop = (seed % 3 == 0) ? 0.05 : 0;
+    g.drop_rate = (seed % 3 == 0) ? 0.05 : 0;
     for (int step = 0; step < 60; ++step) {
-      int n = pick(g.random) % g.size();
-      int what = pick(g.random);
-      if (what < 40) {
-        int64_t v = next++;
-        if (Put(g, v, Millis(800))) naive = std::max(naive, v);
-      } else if (what < 60) {
+      int n = percent(g.random) % g.size();
+      int action = percent(g.random);
+      if (action < 40) {
+        int64_t version = next_version++;
+        if (ProposeAndWait(g, version, Millis(800)))
+          newest_acked = std::max(newest_acked, version);
+      } else if (action < 60) {
         if (g.running(n)) {
-          int64_t before = naive;
-          std::optional<int64_t> v = ReadAt(g, n, Millis(500));
-          if (v) CHECK_TRUE(*v >= before);
+          int64_t before = newest_acked;
+          std::optional<int64_t> version = ReadVersionAt(g, n, Millis(500));
+          if (version) CHECK_TRUE(*version >= before);
         }
-      } else if (what < 68) {
+      } else if (action < 68) {
         g.Kill(n);
-      } else if (what < 80) {
+      } else if (action < 80) {
         g.Start(n);
-      } else if (what < 84) {
+      } else if (action < 84) {
         g.Freeze(n, true);
-      } else if (what < 88) {
+      } else if (action < 88) {
         g.Freeze(n, false);
-      } else if (what < 92) {
+      } else if (action < 92) {
         g.Isolate(n, true);
-      } else if (what < 96) {
+      } else if (action < 96) {
         g.HealAll();
       } else if (g.clock.Now() - wiped_at > std::chrono::seconds(15)) {
-        // One lost disk at a time: all others up and caught up before.
+        // Only one disk is lost at a time: first start all other hosts and let
+        // them catch up.
         g.HealAll();
         for (int i = 0; i < g.size(); ++i) {
           g.Freeze(i, false);
@@ -319,19 +329,20 @@
         g.Run(std::chrono::seconds(5));
         wiped_at = g.clock.Now();
       }
-      g.Run(Millis(pick(g.random) * 5));
+      g.Run(Millis(percent(g.random) * 5));
     }
     g.HealAll();
-    g.drop = 0;
+    g.drop_rate = 0;
     for (int i = 0; i < g.size(); ++i) {
       g.Freeze(i, false);
       g.Start(i);
     }
-    int l = g.AwaitLeader(std::chrono::seconds(10));
-    if (l < 0) FAIL(absl::StrCat("no leader, seed ", seed).c_str());
+    int leader = g.AwaitLeader(std::chrono::seconds(10));
+    if (leader < 0) FAIL(absl::StrCat("no leader, seed ", seed).c_str());
     g.Run(std::chrono::seconds(2));
-    l = g.Leader();
-    std::optional<int64_t> v = ReadAt(g, l);
-    if (!v || *v < naive) FAIL(absl::StrCat("lost, seed ", seed).c_str());
+    leader = g.Leader();
+    std::optional<int64_t> version = ReadVersionAt(g, leader);
+    if (!version || *version < newest_acked)
+      FAIL(absl::StrCat("lost, seed ", seed).c_str());
   }
 }
