--- a/src/base/json_numbers.h
+++ b/src/base/json_numbers.h
@@ -40,7 +40,8 @@
 }
 
 // Returns the member `name` of the object `j`, or `default_value` if there is
-// none. Throws like the function above.
+// none. Throws nlohmann::json::exception if the member is not a number or is
+// out of the range of Int.
 template <typename Int>
 Int WholeNumber(const nlohmann::json& j, const char* name, Int default_value) {
   auto it = j.find(name);
--- a/test/replica_group.h
+++ b/test/replica_group.h
@@ -44,7 +44,7 @@
   void Start(int n);   // Starts the host with its stored state.
   void Wipe(int n);    // Kills the host and empties its disk.
   void Remove(int n);  // Kills the host; it can never be started again.
-  // A frozen host neither ticks nor handles messages; they stay queued.
+  // A frozen host does not tick or handle messages; its messages stay queued.
   void Freeze(int n, bool frozen);
   // Drops (or no longer drops) messages from `a` to `b`, in this direction
   // only.
