--- a/src/control.cc
+++ b/src/control.cc
@@ -17,26 +17,31 @@
 namespace {
 
 constexpr double kTickSeconds = 0.02;
-// A control process without a leader reads the list itself, this much less
-// often: any number of them may do so at once.
-constexpr double kLoneListShare = 0.4;
-// A follower not heard for this long is no longer counted.
-constexpr auto kFollowerGone = std::chrono::seconds(3);
-// How long a process without a disk believes in the leader it was told of.
-constexpr auto kToldLeaderTrust = std::chrono::seconds(1);
+// A control process without a leader reads the upstream list itself, at this
+// fraction of the usual rate. Any number of control processes may do so at the
+// same time.
+constexpr double kLeaderlessListRate = 0.4;
+// A follower that sent no watch for this long is no longer counted.
+constexpr auto kFollowerTimeout = std::chrono::seconds(3);
+// How long a process without a disk relies on the last leader that an answer
+// named.
+constexpr auto kAnnouncedLeaderTtl = std::chrono::seconds(1);
 constexpr auto kHelloInterval = Millis(300);
-// Bytes of changes under way to the leader: half a second of its link of
-// 100 Mbit/s, shared with the other members that pass changes on.
-constexpr size_t kMostForwarded = size_t{1} << 20;
-constexpr auto kStoreRetry = std::chrono::seconds(1);
-// Changes of the list that are kept, in upstreams: what a fleet of hundreds
-// sees in a minute of replacements. Who was away for longer is told it whole.
-constexpr size_t kListChanges = 256;
-// Memory is told in the log when it has moved by this much, at most this often.
+// Maximum bytes of configurations in flight to the leader: what fits in half a
+// second on the leader's link of 100 Mbit/s, which all forwarding members
+// share.
+constexpr size_t kMaxForwardedBytes = size_t{1} << 20;
+constexpr auto kStoreRetryInterval = std::chrono::seconds(1);
+// Size of the kept history of list changes, in changed upstreams: what a fleet
+// of hundreds produces in a minute of replacements. A follower that was away
+// for longer receives the whole list.
+constexpr size_t kMaxListChanges = 256;
+// Heap usage is logged when it has changed by kMemoryStep bytes, at most once
+// per kMemoryLogInterval.
 constexpr size_t kMemoryStep = size_t{4} << 20;
-constexpr auto kMemoryTellInterval = Millis(100);
+constexpr auto kMemoryLogInterval = Millis(100);
 
-std::string NewId() { return absl::StrCat(absl::Hex(RandomSeed())); }
+std::string NewMemberId() { return absl::StrCat(absl::Hex(RandomSeed())); }
 
 }  // namespace
 
@@ -51,17 +56,18 @@
       clock_(clock),
       options_(std::move(options)),
       store_(options_.data_dir, options_.before_disk_write),
-      server_(loop,
-              [this](const H2Request& r, std::shared_ptr<H2Stream> s) {
-                HandlePeer(r, std::move(s));
-              }),
-      turns_(loop, clock,
-             [this](Duration d) { metrics_.ObserveTurn(ToSeconds(d)); }),
+      peer_server_(loop,
+                   [this](const H2Request& r, std::shared_ptr<H2Stream> s) {
+                     HandlePeerRequest(r, std::move(s));
+                   }),
+      loop_watch_(loop, clock,
+                  [this](Duration d) { metrics_.ObserveTurn(ToSeconds(d)); }),
       links_(loop, clock),
-      forwards_(kMostForwarded,
-                [this](int64_t, Document document, SubmitDone done) {
-                  Forward(std::move(document), std::move(done));
-                }),
+      forwarded_changes_(kMaxForwardedBytes,
+                         [this](int64_t, Document document, SubmitDone done) {
+                           ForwardToLeader(std::move(document),
+                                           std::move(done));
+                         }),
       lister_(loop, clock, options_.list),
       usage_(
           loop, clock, wall, options_.usage, [this] { return replica_.get(); },
@@ -75,15 +81,16 @@
             o.data_centre = options_.data_centre;
             o.address = options_.peer.ToString();
             o.reports = &reports_;
-            o.longest_turn = [this] { return turns_.longest(); };
+            o.longest_turn = [this] { return loop_watch_.longest(); };
             return o;
           }(),
           {},
-          [this](const WatchReply& r, bool in_step) {
-            OnLeaderReply(r, in_step);
+          [this](const WatchReply& r, bool in_sync) {
+            OnLeaderReply(r, in_sync);
           }),
-      list_(kListChanges, EncodeListChange) {
-  // Configurations come through the log, not through this watch.
+      list_history_(kMaxListChanges, EncodeListChange) {
+  // Prevents the leader from sending configurations in watch answers: they
+  // arrive through the replicated log.
   leader_watch_.state().config_version = std::numeric_limits<int64_t>::max();
   InitTimer(&tick_, OnTick, kTickSeconds, kTickSeconds);
   tick_.data = this;
@@ -94,11 +101,11 @@
 absl::Status Control::Start() {
   int port = options_.peer_listen_port ? options_.peer_listen_port
                                        : options_.peer.port;
-  absl::Status s = server_.Listen(options_.peer.ip, port);
+  absl::Status s = peer_server_.Listen(options_.peer.ip, port);
   if (!s.ok()) return s;
   if (keeps_state()) {
     OpenStore();
-    leader_watch_.Pause(true);
+    leader_watch_.SetPaused(true);
   } else {
     leader_watch_.set_seeds(options_.seeds);
   }
@@ -116,25 +123,30 @@
   if (!keeps_state()) leader_watch_.set_seeds(options_.seeds);
 }
 
-// Opens the replica on what the disk holds. A disk that cannot be read or
-// written now is tried again; until then this process votes on nothing.
+// Opens the replica on the stored state. Returns false if the disk cannot be
+// read or written; the caller retries later. Until then, this process does not
+// vote.
 bool Control::OpenStore() {
   store_tried_at_ = clock_.Now();
-  absl::StatusOr<StoredState> st = store_.Load();
-  if (!st.ok() && !absl::IsNotFound(st.status())) {
-    LogWarn("store_failed", {{"op", "load"}, {"error", st.status().message()}});
+  absl::StatusOr<StoredState> stored = store_.Load();
+  if (!stored.ok() && !absl::IsNotFound(stored.status())) {
+    LogWarn("store_failed",
+            {{"op", "load"}, {"error", stored.status().message()}});
     return false;
   }
-  quarantine_known_ = st.ok() || options_.bootstrap;
-  if (!st.ok()) {
+  quarantine_complete_ = stored.ok() || options_.bootstrap;
+  if (!stored.ok()) {
     StoredState fresh;
-    std::string own = options_.peer.ToString();
+    std::string own_address = options_.peer.ToString();
     bool founder = options_.bootstrap &&
                    std::find(options_.seeds.begin(), options_.seeds.end(),
-                             own) != options_.seeds.end();
-    // Founders know each other's ids without talking: these follow from the
-    // addresses, once only, at the first start of the whole system.
-    fresh.self = Member{founder ? absl::StrCat("founder-", own) : NewId(), own};
+                             own_address) != options_.seeds.end();
+    // Derives the ids of founders from their addresses, so that founders know
+    // each other's ids without communication. This happens only at the first
+    // start of the whole system.
+    fresh.self =
+        Member{founder ? absl::StrCat("founder-", own_address) : NewMemberId(),
+               own_address};
     if (founder) {
       for (const std::string& a : options_.seeds) {
         fresh.snapshot.members.push_back(
@@ -146,16 +158,16 @@
       LogWarn("store_failed", {{"op", "create"}, {"error", s.message()}});
       return false;
     }
-    st = std::move(fresh);
+    stored = std::move(fresh);
   }
   TimePoint now = clock_.Now();
   quarantine_.TakeReported(LoadCrashRecords(options_.data_dir, now));
-  saved_quarantine_ = quarantine_.version();
-  LogEvent("store_opened", {{"id", st->self.id},
-                            {"term", st->term},
-                            {"snapshot", st->snapshot.index},
-                            {"entries", st->log.size()},
-                            {"version", st->snapshot.version}});
+  saved_quarantine_version_ = quarantine_.version();
+  LogEvent("store_opened", {{"id", stored->self.id},
+                            {"term", stored->term},
+                            {"snapshot", stored->snapshot.index},
+                            {"entries", stored->log.size()},
+                            {"version", stored->snapshot.version}});
   ReplicaOptions o;
   o.tolerate = options_.tolerate;
   Replica::Hooks h;
@@ -165,10 +177,10 @@
   h.on_config = [this](int64_t version, const Document& config) {
     LogEvent("config_committed",
              {{"version", version}, {"bytes", config->size()}});
-    AnswerWatchers();
+    AnswerWatches();
   };
   h.on_change = [this] { FollowLeader(); };
-  replica_ = std::make_unique<Replica>(clock_, o, store_, *std::move(st),
+  replica_ = std::make_unique<Replica>(clock_, o, store_, *std::move(stored),
                                        options_.seeds, h, RandomSeed());
   return true;
 }
@@ -179,31 +191,32 @@
 
 std::optional<Member> Control::Leader() const {
   if (replica_) return replica_->Leader();
-  if (told_leader_.empty() || clock_.Now() - told_at_ > kToldLeaderTrust) {
+  if (announced_leader_.empty() ||
+      clock_.Now() - leader_announced_at_ > kAnnouncedLeaderTtl) {
     return std::nullopt;
   }
-  return Member{"", told_leader_};
+  return Member{"", announced_leader_};
 }
 
-// One message with entries or a snapshot at a time goes to a member: while one
-// is under way, the next goes without its load, as a heartbeat. What waits on a
-// link is thus bounded, however slow it is; a link that takes nothing any more
-// is dropped by its pings, which ends the call.
+// Sends a message to a member. At most one message with log entries or a
+// snapshot is in flight per member. Meanwhile, further messages go without
+// them, as heartbeats. This bounds the bytes queued on a slow link. A link that
+// stops accepting bytes fails its pings and is closed, which ends the call.
 void Control::SendToPeer(const Member& to, const ReplicaMessage& m) {
-  if (!links_.To(to.address).usable()) return;
-  bool loaded = !m.entries.empty() || m.snapshot;
-  if (loaded && !load_under_way_.insert(to.address).second) {
-    ReplicaMessage light = m;
-    light.entries.clear();
-    light.snapshot.reset();
-    SendToPeer(to, light);
+  if (!links_.LinkTo(to.address).usable()) return;
+  bool carries_load = !m.entries.empty() || m.snapshot;
+  if (carries_load && !load_in_flight_.insert(to.address).second) {
+    ReplicaMessage heartbeat = m;
+    heartbeat.entries.clear();
+    heartbeat.snapshot.reset();
+    SendToPeer(to, heartbeat);
     return;
   }
   links_.Post(
       to.address, kReplicaPath, Payload(EncodeMessage(m)),
-      [this, loaded, address = to.address](int status,
-                                           const std::string& body) {
-        if (loaded) load_under_way_.erase(address);
+      [this, carries_load, address = to.address](int status,
+                                                 const std::string& body) {
+        if (carries_load) load_in_flight_.erase(address);
         if (status != 200 || body.empty() || !replica_) return;
         absl::StatusOr<ReplicaMessage> reply = DecodeMessage(body);
         if (!reply.ok()) {
@@ -214,8 +227,8 @@
       });
 }
 
-void Control::HandlePeer(const H2Request& req,
-                         std::shared_ptr<H2Stream> stream) {
+void Control::HandlePeerRequest(const H2Request& req,
+                                std::shared_ptr<H2Stream> stream) {
   if (req.path == kWatchPath) {
     HandleWatch(req, std::move(stream));
     return;
@@ -237,19 +250,19 @@
       return;
     }
     auto document = std::make_shared<const std::string>(req.body);
-    SubmitHere(std::move(document), *version, [stream](absl::Status s) {
+    SubmitLocally(std::move(document), *version, [stream](absl::Status s) {
       stream->Respond(StatusOf(s), {}, std::string(s.message()));
     });
     return;
   }
   if (req.path == kConfirmPath) {
-    ConfirmHere([stream](absl::StatusOr<int64_t> v) {
+    ConfirmVersionLocally([stream](absl::StatusOr<int64_t> v) {
       stream->Respond(StatusOf(v.status()), {}, v.ok() ? absl::StrCat(*v) : "");
     });
     return;
   }
   if (req.path == kReadPath) {
-    ReadHere([stream](absl::StatusOr<std::string> r) {
+    ReadLocally([stream](absl::StatusOr<std::string> r) {
       stream->Respond(StatusOf(r.status()), {}, r.ok() ? *r : "");
     });
     return;
@@ -271,7 +284,7 @@
   } else if (m->type == ReplicaMessage::Type::kJoin) {
     reply.emplace();
     reply->type = ReplicaMessage::Type::kJoinReply;
-    for (const std::string& a : told_members_) {
+    for (const std::string& a : announced_members_) {
       reply->members.push_back(Member{"", a});
     }
   }
@@ -283,16 +296,17 @@
   absl::StatusOr<std::vector<std::string>> members = DecodeHello(req.body);
   stream->Respond(members.ok() ? 200 : 400, {}, "");
   if (!members.ok() || replica_ || members->empty()) return;
-  if (told_members_ != *members) {
+  if (announced_members_ != *members) {
     LogEvent("members_told", {{"members", members->size()}});
   }
-  told_members_ = *std::move(members);
-  std::vector<std::string> ask = options_.seeds;
-  ask.insert(ask.end(), told_members_.begin(), told_members_.end());
-  leader_watch_.set_seeds(std::move(ask));
+  announced_members_ = *std::move(members);
+  std::vector<std::string> seeds = options_.seeds;
+  seeds.insert(seeds.end(), announced_members_.begin(),
+               announced_members_.end());
+  leader_watch_.set_seeds(std::move(seeds));
 }
 
-ControlMetrics::Memory Control::MemoryNow() const {
+ControlMetrics::Memory Control::MeasureMemory() const {
   ControlMetrics::Memory m;
   if (replica_) {
     if (replica_->config()) m.config = replica_->config()->size();
@@ -300,24 +314,24 @@
     m.log_entries = replica_->log_entries();
   }
   m.peers = links_.queued_bytes();
-  m.watchers = server_.queued_bytes();
+  m.watchers = peer_server_.queued_bytes();
   HeapUse heap = ReadHeapUse();
   m.heap = heap.in_use;
   m.heap_held = heap.held;
   return m;
 }
 
-// One line when what fills the memory has changed much: a process that ends
-// for its memory leaves in them what filled it.
-void Control::NoteMemory(TimePoint now) {
-  if (now - memory_told_at_ < kMemoryTellInterval) return;
+// Logs the memory use when it has changed by kMemoryStep. If the process is
+// killed for its memory, the last lines show what filled it.
+void Control::LogMemoryChange(TimePoint now) {
+  if (now - memory_logged_at_ < kMemoryLogInterval) return;
   size_t held = ReadHeapUse().held;
-  size_t moved =
-      held > memory_told_ ? held - memory_told_ : memory_told_ - held;
-  if (moved < kMemoryStep) return;
-  memory_told_ = held;
-  memory_told_at_ = now;
-  ControlMetrics::Memory m = MemoryNow();
+  size_t change = held > logged_heap_held_ ? held - logged_heap_held_
+                                           : logged_heap_held_ - held;
+  if (change < kMemoryStep) return;
+  logged_heap_held_ = held;
+  memory_logged_at_ = now;
+  ControlMetrics::Memory m = MeasureMemory();
   LogEvent("memory", {{"heap", m.heap},
                       {"held", m.heap_held},
                       {"config", m.config},
@@ -325,12 +339,12 @@
                       {"entries", m.log_entries},
                       {"peers", m.peers},
                       {"watchers", m.watchers},
-                      {"waiting", watchers_.size()}});
+                      {"waiting", pending_watches_.size()}});
 }
 
 std::string Control::Metrics() {
   ControlMetrics::State s;
-  s.memory = MemoryNow();
+  s.memory = MeasureMemory();
   TimePoint now = clock_.Now();
   s.leader = IsLeader();
   s.followers = followers_.size();
@@ -348,10 +362,11 @@
   return metrics_.Render();
 }
 
-// Tells seeds that are no members where the group is.
-void Control::SayHello(TimePoint now) {
-  if (!replica_ || now - hello_at_ < kHelloInterval) return;
-  hello_at_ = now;
+// Sends the addresses of the group's members to those seeds that are no
+// members.
+void Control::SendHello(TimePoint now) {
+  if (!replica_ || now - hello_sent_at_ < kHelloInterval) return;
+  hello_sent_at_ = now;
   std::vector<std::string> members;
   for (const Member& m : replica_->members()) members.push_back(m.address);
   if (members.empty()) return;
@@ -360,16 +375,16 @@
         std::find(members.begin(), members.end(), seed) != members.end()) {
       continue;
     }
-    if (!links_.To(seed).usable()) continue;
+    if (!links_.LinkTo(seed).usable()) continue;
     links_.Post(seed, kHelloPath, Payload(EncodeHello(members)), nullptr);
   }
 }
 
 void Control::FollowLeader() {
-  std::optional<Member> l = Leader();
-  bool follow = l && !IsLeader();
-  leader_watch_.Pause(!follow);
-  if (follow) leader_watch_.Pin(l->address);
+  std::optional<Member> leader = Leader();
+  bool follow = leader && !IsLeader();
+  leader_watch_.SetPaused(!follow);
+  if (follow) leader_watch_.Pin(leader->address);
 }
 
 void Control::OnTick(struct ev_loop*, ev_timer* w, int) {
@@ -378,61 +393,63 @@
 
 void Control::Tick() {
   TimePoint now = clock_.Now();
-  if (!replica_ && keeps_state() && now - store_tried_at_ > kStoreRetry) {
+  if (!replica_ && keeps_state() &&
+      now - store_tried_at_ > kStoreRetryInterval) {
     OpenStore();
   }
   if (replica_) replica_->Tick();
-  SayHello(now);
+  SendHello(now);
   for (auto it = followers_.begin(); it != followers_.end();) {
-    it = now - it->second.seen > kFollowerGone ? followers_.erase(it)
-                                               : std::next(it);
+    it = now - it->second.last_seen > kFollowerTimeout ? followers_.erase(it)
+                                                       : std::next(it);
   }
-  leader_watch_.state().watchers = DirectServing();
+  leader_watch_.state().serving_followers = DirectServingCount();
   quarantine_.Tick(now);
   SaveQuarantine(now);
   limits_.Keep(
       [this](const std::string& id) {
-        return list_.list().Find(id) != nullptr;
+        return list_history_.list().Find(id) != nullptr;
       },
       now);
   usage_.Tick();
   if (reports_.urgent()) leader_watch_.AskAgain();
-  ConfirmForNew();
-  AnswerWatchers();
+  ConfirmVersionForNewWatches();
+  AnswerWatches();
   PollList(now);
-  ServeWaiting(now);
-  NoteMemory(now);
+  RetryWaitingCalls(now);
+  LogMemoryChange(now);
 }
 
 void Control::PollList(TimePoint now) {
   lister_.Tick();
   if (lister_.busy() || !replica_) return;
-  bool lone = !IsLeader() && replica_->LeaderAge() > kLeaderlessAfter;
-  if (!IsLeader() && !lone) return;
+  bool leaderless = !IsLeader() && replica_->LeaderAge() > kLeaderlessTimeout;
+  if (!IsLeader() && !leaderless) return;
   list_interval_ = ListInterval(lister_.length(), options_.list.calls_per_s);
-  if (lone) {
-    list_interval_ = BoundedSeconds(ToSeconds(list_interval_) / kLoneListShare);
+  if (leaderless) {
+    list_interval_ =
+        BoundedSeconds(ToSeconds(list_interval_) / kLeaderlessListRate);
   }
-  if (now - polled_at_ < list_interval_) return;
-  polled_at_ = now;
+  if (now - list_polled_at_ < list_interval_) return;
+  list_polled_at_ = now;
   lister_.Read([this, now](absl::StatusOr<std::vector<UpstreamInfo>> r) {
     if (!r.ok()) {
-      if (!list_lost_) {
+      if (!list_source_lost_) {
         LogWarn("list_lost", {{"error", r.status().message()}});
       }
-      list_lost_ = true;
+      list_source_lost_ = true;
       return;
     }
-    if (list_lost_) LogEvent("list_regained", {});
-    list_lost_ = false;
+    if (list_source_lost_) LogEvent("list_regained", {});
+    list_source_lost_ = false;
     list_read_at_ = now;
-    int64_t before = list_.version();
-    if (!list_.Replace(*std::move(r))) return;
-    LogEvent("list_changed", {{"version", list_.version()},
-                              {"from", before},
-                              {"upstreams", list_.list().size()}});
-    leader_watch_.state().list_version = list_.version();
-    AnswerWatchers();
+    int64_t previous_version = list_history_.version();
+    if (!list_history_.Replace(*std::move(r))) return;
+    LogEvent("list_changed", {{"version", list_history_.version()},
+                              {"from", previous_version},
+                              {"upstreams", list_history_.list().size()}});
+    leader_watch_.state().list_version = list_history_.version();
+    AnswerWatches();
   });
 }
 
--- a/src/control.h
+++ b/src/control.h
@@ -1,7 +1,7 @@
-// The control process, on hosts with a disk: keeps the replicated
-// configuration, reads the upstream list, and answers the watches by which
-// both spread. Operators' calls come through Submit and Read, at any control
-// process.
+// The control process. It stores the replicated configuration, reads the
+// upstream list, and publishes both by answering watches. A control process on
+// a host without a disk stores nothing and only relays. Any control process
+// accepts operators' calls, through Submit and Read.
 #ifndef MEDLARWALK_CONTROL_H_
 #define MEDLARWALK_CONTROL_H_
 
@@ -35,25 +35,28 @@
 struct ControlOptions {
   std::string name;
   std::string data_centre;
-  Endpoint peer;                   // Where control processes talk.
-  int peer_listen_port = 0;        // Not 0: a forwarder stands at `peer`.
-  std::vector<std::string> seeds;  // Peer addresses of some of them.
-  bool bootstrap = false;  // The whole system starts for the first time.
-  // Empty on a host without a disk: the process keeps nothing and passes
-  // operators' calls on to the leader.
+  Endpoint peer;  // Address for calls from other medlarwalk processes.
+  // Port to listen on when a forwarder occupies the port of `peer`; 0 if none
+  // does.
+  int peer_listen_port = 0;
+  std::vector<std::string> seeds;  // Peer addresses of some control processes.
+  bool bootstrap =
+      false;  // Whether the whole system starts for the first time.
+  // Directory for replicated state. Empty on a host without a disk: the process
+  // then stores nothing and forwards operators' calls to the leader.
   std::string data_dir;
-  BeforeWrite before_disk_write;  // May be empty.
-  int tolerate = 1;               // Hosts that may be lost at once.
+  BeforeWrite before_disk_write;  // Hook called before disk writes, or empty.
+  int tolerate = 1;  // Number of hosts that may be lost at the same time.
   ListSource list;
   UsageOptions usage;
-  // Checks a document and returns its version. Errors: InvalidArgument.
+  // Validates a configuration and returns its version. Errors: InvalidArgument.
   std::function<absl::StatusOr<int64_t>(absl::string_view)> validate;
 };
 
-// The HTTP status that tells an asker what a call to a control process came to.
+// Returns the HTTP status for the result of a call to a control process.
 int StatusOf(const absl::Status& s);
 
-// Thread safety: loop thread only.
+// One control process. Thread safety: loop thread only.
 class Control {
  public:
   Control(struct ev_loop* loop, const Clock& clock, const WallClock& wall,
@@ -62,139 +65,151 @@
   Control(const Control&) = delete;
   Control& operator=(const Control&) = delete;
 
-  // Errors: Unavailable when the peer address cannot be bound.
+  // Starts to listen and to follow. Errors: Unavailable when the peer address
+  // cannot be bound.
   absl::Status Start();
   void set_seeds(std::vector<std::string> seeds);
 
   using SubmitDone = std::function<void(absl::Status)>;
-  // Ok once the document, or one of at least its version, is committed.
-  // InvalidArgument when it is invalid; Unavailable when the outcome is not
-  // known or no leader is.
+  // Submits a configuration. Calls `done` with Ok once this document, or one of
+  // the same or a higher version, is committed. Errors: InvalidArgument if the
+  // document is invalid; Unavailable if the outcome or the leader is unknown.
   void Submit(std::string document, SubmitDone done);
   using ReadDone = std::function<void(absl::StatusOr<std::string>)>;
-  // The newest committed document. Unavailable when that cannot be told.
+  // Reads the newest committed configuration. Errors: Unavailable when it
+  // cannot be determined.
   void Read(ReadDone done);
-  // Prometheus text.
+  // Returns the metrics in Prometheus text format.
   std::string Metrics();
 
  private:
-  // Out of step for this long, a process no longer counts on its leader.
-  static constexpr auto kLeaderlessAfter = Millis(1200);
-  // A call waits this long for a leader: about one election.
+  // A process that was out of sync for this long treats its leader as lost.
+  static constexpr auto kLeaderlessTimeout = Millis(1200);
+  // Maximum time that a call waits for a leader: about one election.
   static constexpr auto kLeaderWait = Millis(850);
 
-  struct Watcher {
-    WatchRequest request;  // Without what it reported.
-    bool reported = false;
+  // A watch that is not answered yet.
+  struct PendingWatch {
+    WatchRequest
+        request;  // The request without its crash, limit, usage records.
+    bool has_reports = false;  // Whether it carried crash or limit records.
     std::shared_ptr<H2Stream> stream;
-    TimePoint since{};
-    TimePoint until{};
+    TimePoint received_at{};
+    TimePoint deadline{};
   };
+  // A process that watches this one.
   struct Follower {
-    TimePoint seen{};
+    TimePoint last_seen{};
     std::string data_centre;
-    std::string address;  // Of a control process; else empty.
+    std::string address;  // Address of a control process, otherwise empty.
     bool serves_callers = false;
-    int watchers = 0;
+    int serving_followers = 0;
   };
-  // A call that waits for a leader to be known.
-  struct Waiting {
+  // A call that waits until a leader is known.
+  struct WaitingCall {
     std::function<void()> retry;
     std::function<void()> give_up;
-    TimePoint until{};
+    TimePoint deadline{};
   };
 
   static void OnTick(struct ev_loop* loop, ev_timer* w, int revents);
   void Tick();
   bool OpenStore();
-  void HandlePeer(const H2Request& req, std::shared_ptr<H2Stream> stream);
+  void HandlePeerRequest(const H2Request& req,
+                         std::shared_ptr<H2Stream> stream);
   void HandleWatch(const H2Request& req, std::shared_ptr<H2Stream> stream);
   void HandleReplica(const H2Request& req, std::shared_ptr<H2Stream> stream);
   void HandleHello(const H2Request& req, std::shared_ptr<H2Stream> stream);
-  void SayHello(TimePoint now);
+  void SendHello(TimePoint now);
   void SendToPeer(const Member& to, const ReplicaMessage& m);
-  void SubmitHere(Document document, int64_t version, SubmitDone done);
-  void SubmitAnywhere(Document document, int64_t version, TimePoint until,
-                      SubmitDone done);
-  void Forward(Document document, SubmitDone done);
-  void ReadHere(ReadDone done);
-  void ReadAnywhere(TimePoint until, ReadDone done);
-  void AtLeader(const char* path, TimePoint until, std::function<void()> here,
-                ReadDone done);
-  void AwaitLeader(TimePoint until, std::function<void()> retry,
-                   std::function<void()> give_up);
-  void ServeWaiting(TimePoint now);
+  void SubmitLocally(Document document, int64_t version, SubmitDone done);
+  void SubmitOrForward(Document document, int64_t version, TimePoint deadline,
+                       SubmitDone done);
+  void ForwardToLeader(Document document, SubmitDone done);
+  void ReadLocally(ReadDone done);
+  void ReadFromLeader(TimePoint deadline, ReadDone done);
+  void RunAtLeader(const char* path, TimePoint deadline,
+                   std::function<void()> run_locally, ReadDone done);
+  void QueueUntilLeaderKnown(TimePoint deadline, std::function<void()> retry,
+                             std::function<void()> give_up);
+  void RetryWaitingCalls(TimePoint now);
   bool IsLeader() const;
   bool keeps_state() const { return !options_.data_dir.empty(); }
   std::optional<Member> Leader() const;
-  WatchReply MakeReply(const WatchRequest& r);
-  std::vector<ControlPlace> Places() const;
+  WatchReply MakeWatchReply(const WatchRequest& r);
+  std::vector<ControlEndpoint> ControlEndpoints() const;
   std::string DataCentreOf(const std::string& address) const;
-  void OnLeaderReply(const WatchReply& r, bool in_step);
-  void TakeCrashes(absl::string_view encoded, bool from_leader);
-  void TakeLimits(absl::string_view encoded, bool from_leader);
+  void OnLeaderReply(const WatchReply& r, bool in_sync);
+  void MergeCrashRecords(absl::string_view encoded, bool from_leader);
+  void MergeLimitRecords(absl::string_view encoded, bool from_leader);
   void SaveQuarantine(TimePoint now);
-  void TakeListFrom(const WatchReply& r);
-  bool MayTell(const Watcher& w) const;
-  void AnswerWatchers();
+  void ApplyListChange(const WatchReply& r);
+  bool MayPublishTo(const PendingWatch& w) const;
+  void AnswerWatches();
   using ConfirmDone = std::function<void(absl::StatusOr<int64_t>)>;
-  void ConfirmHere(ConfirmDone done);
-  void ConfirmAnywhere(TimePoint until, ConfirmDone done);
-  void ConfirmForNew();
+  void ConfirmVersionLocally(ConfirmDone done);
+  void ConfirmVersionAtLeader(TimePoint deadline, ConfirmDone done);
+  void ConfirmVersionForNewWatches();
   void PollList(TimePoint now);
-  ControlMetrics::Memory MemoryNow() const;
-  void NoteMemory(TimePoint now);
+  ControlMetrics::Memory MeasureMemory() const;
+  void LogMemoryChange(TimePoint now);
   void FollowLeader();
-  int DirectServing() const;
-  int TotalServing() const;
-  int PlaceOf(const std::string& follower) const;
+  int DirectServingCount() const;
+  int TotalServingCount() const;
+  int ServingIndexOf(const std::string& follower) const;
 
   struct ev_loop* loop_;
   const Clock& clock_;
   ControlOptions options_;
   FileReplicaStore store_;
   std::unique_ptr<Replica> replica_;
-  H2Server server_;
+  H2Server peer_server_;
   ControlMetrics metrics_;
-  LoopWatch turns_;
-  // Members to whom entries or a snapshot are on their way.
-  std::set<std::string> load_under_way_;
+  LoopWatch loop_watch_;
+  // Addresses of members with a call in flight that carries log entries or a
+  // snapshot.
+  std::set<std::string> load_in_flight_;
   LinkPool links_;
-  NewestGate forwards_;  // Changes passed on to the leader.
+  NewestGate forwarded_changes_;  // Configurations forwarded to the leader.
   Lister lister_;
   Quarantine quarantine_;
   LimitBook limits_;
   UsageReporter usage_;
   WatchReports reports_;
-  // What is held may lack what was known before this process started anew.
-  bool quarantine_known_ = false;
-  int64_t saved_quarantine_ = 0;
-  TimePoint save_tried_at_{};
+  // False while crash records from before a restart may be missing here.
+  bool quarantine_complete_ = false;
+  int64_t saved_quarantine_version_ = 0;
+  TimePoint quarantine_save_tried_at_{};
   WatchClient leader_watch_;
-  ListHistory list_;
+  ListHistory list_history_;
   TimePoint list_read_at_{};
-  Duration list_interval_{};  // As this process or its leader reads it.
-  TimePoint polled_at_{};
-  std::vector<Watcher> watchers_;
+  // Interval of the process that reads the list: this one or its leader.
+  Duration list_interval_{};
+  TimePoint list_polled_at_{};
+  std::vector<PendingWatch> pending_watches_;
   std::map<std::string, Follower> followers_;
-  int serving_from_leader_ = 0;
-  int place_from_leader_ = -1;
-  // Where the control processes are, as the leader told it.
-  std::map<std::string, std::string> data_centres_;  // By address.
-  // Without a disk: the members as last told; the leader, and when.
-  std::vector<std::string> told_members_;
-  std::string told_leader_;
-  TimePoint told_at_{};
-  std::vector<Waiting> waiting_;
+  // WatchReply::serving and WatchReply::place of the leader's last answer.
+  int leader_serving_count_ = 0;
+  int leader_serving_index_ = -1;
+  // Data centres of the control processes, as published by the leader.
+  std::map<std::string, std::string> data_centre_by_address_;
+  // Addresses of the members as last announced to this process. Used only on a
+  // host without a disk.
+  std::vector<std::string> announced_members_;
+  // Leader named by the last watch answer, and the time of that answer. Used
+  // only on a host without a disk.
+  std::string announced_leader_;
+  TimePoint leader_announced_at_{};
+  std::vector<WaitingCall> waiting_calls_;
   TimePoint store_tried_at_{};
-  TimePoint hello_at_{};
-  bool list_lost_ = false;
-  size_t memory_told_ = 0;
-  TimePoint memory_told_at_{};
-  // The last confirmation of the newest version by the leader: when it was
-  // asked for and what it said.
-  bool confirming_ = false;
-  TimePoint confirmed_from_{};
+  TimePoint hello_sent_at_{};
+  bool list_source_lost_ = false;
+  size_t logged_heap_held_ = 0;
+  TimePoint memory_logged_at_{};
+  // Whether a request to the leader to confirm the newest version is in flight.
+  bool confirming_version_ = false;
+  // Version that the leader confirmed last, and when that was requested.
+  TimePoint confirm_requested_at_{};
   int64_t confirmed_version_ = 0;
   ev_timer tick_{};
 };
--- a/src/control_calls.cc
+++ b/src/control_calls.cc
@@ -1,5 +1,5 @@
-// The control process's part that takes operators' calls, and passes them on to
-// the leader where it is none.
+// Operators' calls to the control process. A process that is not the leader
+// forwards them to the leader.
 #include "absl/strings/str_cat.h"
 #include "control.h"
 #include "log.h"
@@ -8,46 +8,50 @@
 namespace medlarwalk {
 namespace {
 
-absl::string_view OutcomeOf(const absl::Status& s) {
+absl::string_view CallOutcome(const absl::Status& s) {
   if (s.ok()) return "ok";
   return absl::IsInvalidArgument(s) ? "invalid" : "unavailable";
 }
 
 }  // namespace
 
-// Calls that waited for a leader.
-void Control::ServeWaiting(TimePoint now) {
-  std::vector<Waiting> due = std::move(waiting_);
-  waiting_.clear();
-  bool known = Leader().has_value();
-  for (Waiting& w : due) {
-    if (known) {
+// Retries the calls that waited for a leader, if one is known by now. Fails
+// those past their deadline.
+void Control::RetryWaitingCalls(TimePoint now) {
+  std::vector<WaitingCall> calls = std::move(waiting_calls_);
+  waiting_calls_.clear();
+  bool leader_known = Leader().has_value();
+  for (WaitingCall& w : calls) {
+    if (leader_known) {
       w.retry();
-    } else if (now >= w.until) {
+    } else if (now >= w.deadline) {
       w.give_up();
     } else {
-      waiting_.push_back(std::move(w));
+      waiting_calls_.push_back(std::move(w));
     }
   }
 }
 
-// Calls `retry` once a leader is known, or `give_up` at `until`.
-void Control::AwaitLeader(TimePoint until, std::function<void()> retry,
-                          std::function<void()> give_up) {
-  if (clock_.Now() >= until) {
+// Calls `retry` once a leader is known, or `give_up` at `deadline`.
+void Control::QueueUntilLeaderKnown(TimePoint deadline,
+                                    std::function<void()> retry,
+                                    std::function<void()> give_up) {
+  if (clock_.Now() >= deadline) {
     give_up();
     return;
   }
-  waiting_.push_back(Waiting{std::move(retry), std::move(give_up), until});
+  waiting_calls_.push_back(
+      WaitingCall{std::move(retry), std::move(give_up), deadline});
 }
 
-void Control::SubmitHere(Document document, int64_t version, SubmitDone done) {
+void Control::SubmitLocally(Document document, int64_t version,
+                            SubmitDone done) {
   if (!replica_) {
     done(absl::UnavailableError("no store"));
     return;
   }
-  // What is committed is durable, so a version that is not higher needs
-  // nothing more, whoever leads now.
+  // A committed configuration is durable. The same or a lower version therefore
+  // succeeds without the leader.
   if (version <= replica_->config_version()) {
     done(absl::OkStatus());
     return;
@@ -59,46 +63,46 @@
   absl::StatusOr<int64_t> version = options_.validate(document);
   if (!version.ok()) {
     LogEvent("config_refused", {{"why", version.status().message()}});
-    metrics_.ObserveCall("submit", OutcomeOf(version.status()), 0);
+    metrics_.ObserveCall("submit", CallOutcome(version.status()), 0);
     done(version.status());
     return;
   }
-  int64_t v = *version;
+  int64_t version_number = *version;
   size_t bytes = document.size();
-  TimePoint from = clock_.Now();
-  SubmitAnywhere(
-      Pack(document), v, from + kLeaderWait,
-      [this, v, from, bytes, done = std::move(done)](absl::Status s) {
-        LogEvent("config_submitted",
-                 {{"version", v},
-                  {"bytes", bytes},
-                  {"ms", ToMs(clock_.Now() - from)},
-                  {"outcome", s.ok() ? "ok" : s.message()}});
-        metrics_.ObserveCall("submit", OutcomeOf(s),
-                             ToSeconds(clock_.Now() - from));
-        done(s);
-      });
+  TimePoint start = clock_.Now();
+  SubmitOrForward(Pack(document), version_number, start + kLeaderWait,
+                  [this, version_number, start, bytes,
+                   done = std::move(done)](absl::Status s) {
+                    LogEvent("config_submitted",
+                             {{"version", version_number},
+                              {"bytes", bytes},
+                              {"ms", ToMs(clock_.Now() - start)},
+                              {"outcome", s.ok() ? "ok" : s.message()}});
+                    metrics_.ObserveCall("submit", CallOutcome(s),
+                                         ToSeconds(clock_.Now() - start));
+                    done(s);
+                  });
 }
 
-void Control::SubmitAnywhere(Document document, int64_t version,
-                             TimePoint until, SubmitDone done) {
+void Control::SubmitOrForward(Document document, int64_t version,
+                              TimePoint deadline, SubmitDone done) {
   if (replica_ && (IsLeader() || version <= replica_->config_version())) {
-    SubmitHere(std::move(document), version, std::move(done));
+    SubmitLocally(std::move(document), version, std::move(done));
     return;
   }
   if (!Leader()) {
-    AwaitLeader(
-        until,
-        [this, document, version, until, done] {
-          SubmitAnywhere(document, version, until, done);
+    QueueUntilLeaderKnown(
+        deadline,
+        [this, document, version, deadline, done] {
+          SubmitOrForward(document, version, deadline, done);
         },
         [done] { done(absl::UnavailableError("no leader")); });
     return;
   }
-  forwards_.Offer(version, std::move(document), std::move(done));
+  forwarded_changes_.Offer(version, std::move(document), std::move(done));
 }
 
-void Control::Forward(Document document, SubmitDone done) {
+void Control::ForwardToLeader(Document document, SubmitDone done) {
   std::optional<Member> leader = Leader();
   if (!leader) {
     done(absl::UnavailableError("no leader"));
@@ -117,7 +121,7 @@
       });
 }
 
-void Control::ReadHere(ReadDone done) {
+void Control::ReadLocally(ReadDone done) {
   if (!replica_) {
     done(absl::UnavailableError("no store"));
     return;
@@ -134,31 +138,35 @@
 }
 
 void Control::Read(ReadDone done) {
-  TimePoint from = clock_.Now();
-  ReadAnywhere(from + kLeaderWait, [this, from, done = std::move(done)](
-                                       const absl::StatusOr<std::string>& r) {
-    metrics_.ObserveCall("read", OutcomeOf(r.status()),
-                         ToSeconds(clock_.Now() - from));
-    done(r.ok() ? Unpack(*r, kMaxLinkBodyBytes) : r);
-  });
+  TimePoint start = clock_.Now();
+  ReadFromLeader(start + kLeaderWait,
+                 [this, start, done = std::move(done)](
+                     const absl::StatusOr<std::string>& r) {
+                   metrics_.ObserveCall("read", CallOutcome(r.status()),
+                                        ToSeconds(clock_.Now() - start));
+                   done(r.ok() ? Unpack(*r, kMaxLinkBodyBytes) : r);
+                 });
 }
 
-void Control::ReadAnywhere(TimePoint until, ReadDone done) {
-  AtLeader(
-      kReadPath, until, [this, done] { ReadHere(done); }, done);
+void Control::ReadFromLeader(TimePoint deadline, ReadDone done) {
+  RunAtLeader(
+      kReadPath, deadline, [this, done] { ReadLocally(done); }, done);
 }
 
-// Runs `here` if this process leads, else asks the leader, once one is known.
-void Control::AtLeader(const char* path, TimePoint until,
-                       std::function<void()> here, ReadDone done) {
+// Calls `run_locally` if this process is the leader. Otherwise posts to `path`
+// at the leader, once a leader is known, and passes the answer to `done`.
+void Control::RunAtLeader(const char* path, TimePoint deadline,
+                          std::function<void()> run_locally, ReadDone done) {
   if (IsLeader()) {
-    here();
+    run_locally();
     return;
   }
   if (!Leader()) {
-    AwaitLeader(
-        until,
-        [this, path, until, here, done] { AtLeader(path, until, here, done); },
+    QueueUntilLeaderKnown(
+        deadline,
+        [this, path, deadline, run_locally, done] {
+          RunAtLeader(path, deadline, run_locally, done);
+        },
         [done] { done(absl::UnavailableError("no leader")); });
     return;
   }
--- a/src/control_quarantine.cc
+++ b/src/control_quarantine.cc
@@ -1,5 +1,5 @@
-// The control process's part that keeps and passes on what entries have seen of
-// upstreams: which requests crash them, and the limits they name.
+// Crash records and upstream limits in the control process: merges what entries
+// and the leader report, and saves the quarantine to disk.
 #include "absl/status/statusor.h"
 #include "control.h"
 #include "log.h"
@@ -8,13 +8,14 @@
 namespace medlarwalk {
 namespace {
 
-// Between two savings of the quarantine: crashes come in clusters.
-constexpr auto kSaveInterval = Millis(200);
+// Minimum time between two saves of the quarantine. Crashes come in clusters.
+constexpr auto kQuarantineSaveInterval = Millis(200);
 
 }  // namespace
 
-// Joins what a follower reports or the leader tells.
-void Control::TakeCrashes(absl::string_view encoded, bool from_leader) {
+// Merges encoded crash records that a follower reported or the leader
+// published.
+void Control::MergeCrashRecords(absl::string_view encoded, bool from_leader) {
   absl::StatusOr<std::vector<CrashRecord>> r =
       DecodeCrashRecords(encoded, clock_.Now());
   if (!r.ok()) {
@@ -26,7 +27,8 @@
   }
 }
 
-void Control::TakeLimits(absl::string_view encoded, bool from_leader) {
+// Merges encoded limits that a follower reported or the leader published.
+void Control::MergeLimitRecords(absl::string_view encoded, bool from_leader) {
   absl::StatusOr<std::vector<LimitRecord>> r =
       DecodeLimitRecords(encoded, clock_.Now());
   if (!r.ok()) {
@@ -38,17 +40,18 @@
   }
 }
 
-// Keeps the quarantine for when every process has ended.
+// Saves a changed quarantine to disk, so that it survives a restart of all
+// processes.
 void Control::SaveQuarantine(TimePoint now) {
-  if (!replica_ || quarantine_.version() == saved_quarantine_ ||
-      now - save_tried_at_ < kSaveInterval) {
+  if (!replica_ || quarantine_.version() == saved_quarantine_version_ ||
+      now - quarantine_save_tried_at_ < kQuarantineSaveInterval) {
     return;
   }
-  save_tried_at_ = now;
+  quarantine_save_tried_at_ = now;
   absl::Status s = SaveCrashRecords(options_.data_dir, quarantine_.Shared(),
                                     now, options_.before_disk_write);
   if (s.ok()) {
-    saved_quarantine_ = quarantine_.version();
+    saved_quarantine_version_ = quarantine_.version();
   } else {
     LogWarn("store_failed", {{"op", "quarantine"}, {"error", s.message()}});
   }
--- a/src/control_watch.cc
+++ b/src/control_watch.cc
@@ -1,4 +1,5 @@
-// The control process's part that tells its followers what is new.
+// Watches in the control process: publishes new configurations, lists, crash
+// records and limits to the followers.
 #include <algorithm>
 
 #include "absl/strings/numbers.h"
@@ -9,43 +10,47 @@
 namespace medlarwalk {
 namespace {
 
-// A watch with nothing new is answered after this, which also tells the
-// asker that this process is still there and in step.
-constexpr auto kWatchHold = Millis(400);
+// A watch is answered after this time even if nothing is new. The answer shows
+// the follower that this process is alive and in sync with the leader.
+constexpr auto kWatchHoldTime = Millis(400);
 
 }  // namespace
 
-int Control::DirectServing() const {
+int Control::DirectServingCount() const {
   int n = 0;
   for (const auto& [name, f] : followers_) n += f.serves_callers;
   return n;
 }
 
-int Control::TotalServing() const {
-  if (!IsLeader()) return std::max(serving_from_leader_, DirectServing());
-  int n = DirectServing();
-  for (const auto& [name, f] : followers_) n += f.watchers;
+int Control::TotalServingCount() const {
+  if (!IsLeader()) return std::max(leader_serving_count_, DirectServingCount());
+  int n = DirectServingCount();
+  for (const auto& [name, f] : followers_) n += f.serving_followers;
   return n;
 }
 
-// Counted through: at the leader first those who follow it in person, then
-// those of each follower in turn; elsewhere from what the leader has told.
-int Control::PlaceOf(const std::string& follower) const {
-  int place = IsLeader() ? 0 : place_from_leader_;
-  // Forgotten while its watch is open: this process stood still.
-  auto asker = followers_.find(follower);
-  if (place < 0 || asker == followers_.end()) return -1;
-  bool serves = asker->second.serves_callers;
-  if (!serves) place += DirectServing();
+// Returns the index of a follower among all serving processes, or that of the
+// first serving process behind it; -1 if unknown. The leader numbers its direct
+// serving followers first, then those of each control process that follows it.
+// Any other process numbers its followers from the index that the leader
+// assigned to it.
+int Control::ServingIndexOf(const std::string& follower) const {
+  int index = IsLeader() ? 0 : leader_serving_index_;
+  // A follower can be missing here although its watch is open: it timed out
+  // while this process was stalled.
+  auto self = followers_.find(follower);
+  if (index < 0 || self == followers_.end()) return -1;
+  bool serves = self->second.serves_callers;
+  if (!serves) index += DirectServingCount();
   for (const auto& [name, f] : followers_) {
     if (name == follower) break;
     if (serves) {
-      place += f.serves_callers;
+      index += f.serves_callers;
     } else {
-      place += f.watchers;
+      index += f.serving_followers;
     }
   }
-  return place;
+  return index;
 }
 
 std::string Control::DataCentreOf(const std::string& address) const {
@@ -53,19 +58,19 @@
   for (const auto& [name, f] : followers_) {
     if (f.address == address) return f.data_centre;
   }
-  auto it = data_centres_.find(address);
-  return it == data_centres_.end() ? "" : it->second;
+  auto it = data_centre_by_address_.find(address);
+  return it == data_centre_by_address_.end() ? "" : it->second;
 }
 
-// The control processes, each with its data centre as far as it is known: those
-// who follow here in person, the others as the leader told.
-std::vector<ControlPlace> Control::Places() const {
-  std::vector<std::string> addresses = told_members_;
+// Returns the control processes, each with its data centre if known. Data
+// centres of followers come from their watches, the others from the leader.
+std::vector<ControlEndpoint> Control::ControlEndpoints() const {
+  std::vector<std::string> addresses = announced_members_;
   if (replica_) {
     addresses.clear();
     for (const Member& m : replica_->members()) addresses.push_back(m.address);
   }
-  std::vector<ControlPlace> out;
+  std::vector<ControlEndpoint> out;
   for (std::string& a : addresses) {
     std::string data_centre = DataCentreOf(a);
     out.push_back({std::move(a), std::move(data_centre)});
@@ -73,41 +78,41 @@
   return out;
 }
 
-void Control::OnLeaderReply(const WatchReply& r, bool in_step) {
-  if (r.quarantine) TakeCrashes(*r.quarantine, true);
-  if (r.limits) TakeLimits(*r.limits, true);
-  if (!in_step || IsLeader()) return;
-  serving_from_leader_ = r.serving;
-  place_from_leader_ = r.place;
-  told_leader_ = r.leader;
-  told_at_ = clock_.Now();
+void Control::OnLeaderReply(const WatchReply& r, bool in_sync) {
+  if (r.quarantine) MergeCrashRecords(*r.quarantine, true);
+  if (r.limits) MergeLimitRecords(*r.limits, true);
+  if (!in_sync || IsLeader()) return;
+  leader_serving_count_ = r.serving;
+  leader_serving_index_ = r.place;
+  announced_leader_ = r.leader;
+  leader_announced_at_ = clock_.Now();
   usage_.TakeTold(r);
-  if (!r.control.empty()) data_centres_.clear();
-  for (const ControlPlace& p : r.control) {
-    data_centres_[p.address] = p.data_centre;
+  if (!r.control.empty()) data_centre_by_address_.clear();
+  for (const ControlEndpoint& p : r.control) {
+    data_centre_by_address_[p.address] = p.data_centre;
   }
   if (r.list_age_ms >= 0) {
     list_read_at_ = clock_.Now() - Millis(r.list_age_ms);
     list_interval_ = Millis(r.list_interval_ms);
   }
-  quarantine_known_ = true;
-  if (r.list) TakeListFrom(r);
+  quarantine_complete_ = true;
+  if (r.list) ApplyListChange(r);
 }
 
-void Control::TakeListFrom(const WatchReply& r) {
+void Control::ApplyListChange(const WatchReply& r) {
   absl::StatusOr<ListChange> c = DecodeListChange(*r.list);
-  bool fits = c.ok() && list_.Apply(*c);
-  if (!fits) {
-    LogWarn("list_unfit", {{"held", list_.version()},
+  bool applied = c.ok() && list_history_.Apply(*c);
+  if (!applied) {
+    LogWarn("list_unfit", {{"held", list_history_.version()},
                            {"from", c.ok() ? c->from : -1},
                            {"to", c.ok() ? c->to : -1}});
   }
-  // What does not fit is asked for as a whole.
-  leader_watch_.state().list_version = fits ? list_.version() : 0;
-  if (fits) AnswerWatchers();
+  // Version 0 requests the whole list after a change that does not apply.
+  leader_watch_.state().list_version = applied ? list_history_.version() : 0;
+  if (applied) AnswerWatches();
 }
 
-WatchReply Control::MakeReply(const WatchRequest& r) {
+WatchReply Control::MakeWatchReply(const WatchRequest& r) {
   WatchReply w;
   TimePoint now = clock_.Now();
   if (replica_) {
@@ -117,15 +122,17 @@
     if (w.config_version > r.config_version) w.config = replica_->config();
     if (std::optional<Member> l = replica_->Leader()) w.leader = l->address;
   }
-  std::vector<ControlPlace> places = Places();
-  if (PlacesVersion(places) != r.places_version) w.control = std::move(places);
-  if (list_.version() != 0 && list_.version() != r.list_version) {
-    w.list = list_.EncodedSince(r.list_version);
+  std::vector<ControlEndpoint> endpoints = ControlEndpoints();
+  if (EndpointsVersion(endpoints) != r.endpoints_version)
+    w.control = std::move(endpoints);
+  if (list_history_.version() != 0 &&
+      list_history_.version() != r.list_version) {
+    w.list = list_history_.EncodedSince(r.list_version);
   }
   if (list_read_at_ != TimePoint{}) w.list_age_ms = ToMs(now - list_read_at_);
   w.list_interval_ms = ToMs(list_interval_);
-  w.serving = TotalServing();
-  w.place = PlaceOf(r.name);
+  w.serving = TotalServingCount();
+  w.place = ServingIndexOf(r.name);
   usage_.Fill(&w);
   w.quarantine_version = quarantine_.version();
   if (w.quarantine_version != r.quarantine_version) {
@@ -149,66 +156,69 @@
     return;
   }
   Follower& f = followers_[r->name];
-  f.seen = clock_.Now();
+  f.last_seen = clock_.Now();
   f.data_centre = r->data_centre;
   f.address = r->address;
   f.serves_callers = r->serves_callers;
-  f.watchers = r->watchers;
+  f.serving_followers = r->serving_followers;
   TimePoint now = clock_.Now();
-  bool reported = !r->crashes.empty() || !r->limits.empty();
-  if (!r->crashes.empty()) TakeCrashes(r->crashes, false);
+  bool has_reports = !r->crashes.empty() || !r->limits.empty();
+  if (!r->crashes.empty()) MergeCrashRecords(r->crashes, false);
   r->crashes.clear();
-  if (!r->limits.empty()) TakeLimits(r->limits, false);
+  if (!r->limits.empty()) MergeLimitRecords(r->limits, false);
   r->limits.clear();
   usage_.TakeReport(*r);
   r->usage.clear();
-  watchers_.push_back(Watcher{*std::move(r), reported, std::move(stream), now,
-                              now + kWatchHold});
-  ConfirmForNew();
-  AnswerWatchers();
+  pending_watches_.push_back(PendingWatch{*std::move(r), has_reports,
+                                          std::move(stream), now,
+                                          now + kWatchHoldTime});
+  ConfirmVersionForNewWatches();
+  AnswerWatches();
 }
 
-// Whether what this process holds may be told to `w`. One that holds nothing
-// yet would obey the first configuration it is told, for as long as it takes
-// to hear of a newer one: it is told only what the leader has confirmed since
-// it asked.
-bool Control::MayTell(const Watcher& w) const {
+// Returns whether this process may send its state in answer to `w`. A follower
+// that holds no configuration yet would apply a stale one until it receives a
+// newer one. Such a follower is therefore sent only a version that the leader
+// has confirmed after the watch arrived.
+bool Control::MayPublishTo(const PendingWatch& w) const {
   if (w.request.config_version > 0) return true;
-  return quarantine_known_ && confirmed_from_ >= w.since && replica_ &&
-         replica_->config_version() >= confirmed_version_;
+  return quarantine_complete_ && confirm_requested_at_ >= w.received_at &&
+         replica_ && replica_->config_version() >= confirmed_version_;
 }
 
-// Answers each watch that has something new, or whose time is up; all of them
-// when this process is not in step, so that their askers turn elsewhere.
-void Control::AnswerWatchers() {
+// Answers each watch for which there is news or whose deadline has passed. If
+// this process is out of sync with the leader, answers all watches, so that the
+// followers switch to another control process.
+void Control::AnswerWatches() {
   TimePoint now = clock_.Now();
-  bool lost = !replica_ || replica_->StepAge() > kLeaderlessAfter;
-  std::vector<Watcher> keep;
-  std::vector<Watcher> due = std::move(watchers_);
-  watchers_.clear();
-  for (Watcher& w : due) {
+  bool out_of_sync = !replica_ || replica_->StepAge() > kLeaderlessTimeout;
+  std::vector<PendingWatch> keep;
+  std::vector<PendingWatch> watches = std::move(pending_watches_);
+  pending_watches_.clear();
+  for (PendingWatch& w : watches) {
     if (w.stream->closed()) continue;
-    bool told = MayTell(w);
-    bool fresh =
-        told &&
+    bool may_publish = MayPublishTo(w);
+    bool has_news =
+        may_publish &&
         ((replica_ && replica_->config_version() > w.request.config_version) ||
-         (list_.version() && list_.version() != w.request.list_version) ||
+         (list_history_.version() &&
+          list_history_.version() != w.request.list_version) ||
          quarantine_.version() != w.request.quarantine_version ||
          limits_.version() != w.request.limits_version);
-    // Whoever reports waits to hear that it has arrived.
-    bool heard = told && w.reported;
-    if (!fresh && !heard && !lost && now < w.until) {
+    // A follower that sent reports waits for the acknowledgment.
+    bool must_acknowledge = may_publish && w.has_reports;
+    if (!has_news && !must_acknowledge && !out_of_sync && now < w.deadline) {
       keep.push_back(std::move(w));
       continue;
     }
-    WatchReply reply = MakeReply(w.request);
-    if (!told) {
+    WatchReply reply = MakeWatchReply(w.request);
+    if (!may_publish) {
       reply.age_ms = -1;
       reply.config = nullptr;
     }
     if (reply.list) {
-      bool known = list_.Knows(w.request.list_version);
-      metrics_.CountListTold(known ? "difference" : "whole",
+      bool version_known = list_history_.Knows(w.request.list_version);
+      metrics_.CountListTold(version_known ? "difference" : "whole",
                              reply.list->size());
     }
     metrics_.CountWatch(reply.config ? "config"
@@ -216,31 +226,33 @@
                                      : "nothing");
     w.stream->Respond(200, {}, EncodeWatchReply(reply));
   }
-  // Answering may have let new watches in.
-  for (Watcher& w : keep) watchers_.push_back(std::move(w));
+  // Appends, because answering may have added new watches.
+  for (PendingWatch& w : keep) pending_watches_.push_back(std::move(w));
 }
 
-// Has the leader confirm the newest version while anyone who holds nothing yet
-// waits for it; one question for all of them.
-void Control::ConfirmForNew() {
-  if (confirming_ || !replica_) return;
-  bool needed =
-      std::any_of(watchers_.begin(), watchers_.end(), [&](const Watcher& w) {
-        return w.request.config_version == 0 && confirmed_from_ < w.since;
-      });
+// Asks the leader to confirm the newest version if a follower without a
+// configuration waits for that. One request serves all such followers.
+void Control::ConfirmVersionForNewWatches() {
+  if (confirming_version_ || !replica_) return;
+  bool needed = std::any_of(pending_watches_.begin(), pending_watches_.end(),
+                            [&](const PendingWatch& w) {
+                              return w.request.config_version == 0 &&
+                                     confirm_requested_at_ < w.received_at;
+                            });
   if (!needed) return;
-  confirming_ = true;
-  TimePoint from = clock_.Now();
-  ConfirmAnywhere(from + kLeaderWait, [this, from](absl::StatusOr<int64_t> v) {
-    confirming_ = false;
-    if (!v.ok()) return;
-    confirmed_from_ = from;
-    confirmed_version_ = *v;
-    AnswerWatchers();
-  });
+  confirming_version_ = true;
+  TimePoint requested_at = clock_.Now();
+  ConfirmVersionAtLeader(requested_at + kLeaderWait,
+                         [this, requested_at](absl::StatusOr<int64_t> v) {
+                           confirming_version_ = false;
+                           if (!v.ok()) return;
+                           confirm_requested_at_ = requested_at;
+                           confirmed_version_ = *v;
+                           AnswerWatches();
+                         });
 }
 
-void Control::ConfirmHere(ConfirmDone done) {
+void Control::ConfirmVersionLocally(ConfirmDone done) {
   if (!replica_) {
     done(absl::UnavailableError("no store"));
     return;
@@ -254,9 +266,9 @@
   });
 }
 
-void Control::ConfirmAnywhere(TimePoint until, ConfirmDone done) {
-  AtLeader(
-      kConfirmPath, until, [this, done] { ConfirmHere(done); },
+void Control::ConfirmVersionAtLeader(TimePoint deadline, ConfirmDone done) {
+  RunAtLeader(
+      kConfirmPath, deadline, [this, done] { ConfirmVersionLocally(done); },
       [done](const absl::StatusOr<std::string>& r) {
         int64_t version;
         if (r.ok() && absl::SimpleAtoi(*r, &version)) {
--- a/src/control_wire.cc
+++ b/src/control_wire.cc
@@ -15,15 +15,15 @@
 
 namespace {
 
-// Ages beyond it are as good as this one.
-constexpr Millis kOldestAge = std::chrono::hours(24);
+// Upper bound for decoded ages; larger ages are clamped to it.
+constexpr Millis kMaxAge = std::chrono::hours(24);
 
 json ToJson(const UpstreamInfo& u) {
   return {u.id,          u.service, u.address.ip, u.address.port,
           u.data_centre, u.leaving, u.slots,      u.born};
 }
 
-UpstreamInfo UpstreamFrom(const json& j) {
+UpstreamInfo UpstreamFromJson(const json& j) {
   UpstreamInfo u;
   u.id = j.at(0).get<std::string>();
   u.service = j.at(1).get<std::string>();
@@ -36,36 +36,36 @@
   return u;
 }
 
-json ToJson(const std::vector<ControlPlace>& places) {
+json ToJson(const std::vector<ControlEndpoint>& endpoints) {
   json out = json::array();
-  for (const ControlPlace& p : places) {
+  for (const ControlEndpoint& p : endpoints) {
     out.push_back({p.address, p.data_centre});
   }
   return out;
 }
 
-std::vector<ControlPlace> PlacesFrom(const json& j) {
-  std::vector<ControlPlace> out;
+std::vector<ControlEndpoint> ControlEndpointsFromJson(const json& j) {
+  std::vector<ControlEndpoint> out;
   for (const json& p : j) {
     out.push_back({p.at(0).get<std::string>(), p.at(1).get<std::string>()});
   }
   return out;
 }
 
-Document DocumentAt(const json& j, const char* name) {
+Document OptionalDocument(const json& j, const char* name) {
   auto it = j.find(name);
   if (it == j.end()) return nullptr;
   const auto& b = it->get_binary();
   return std::make_shared<const std::string>(b.begin(), b.end());
 }
 
-json Binary(const std::string& bytes) {
+json ToJsonBinary(const std::string& bytes) {
   return json::binary(std::vector<uint8_t>(bytes.begin(), bytes.end()));
 }
 
-// What stands before `n` bytes in CBOR: their type and number, in the form of
-// four bytes whatever the number (RFC 8949, 3.1).
-std::string BytesHeader(size_t n) {
+// Returns the CBOR head of a byte string of length `n`. Always uses the form
+// with a four-byte length (RFC 8949, 3.1).
+std::string CborByteStringHeader(size_t n) {
   std::string out = "\x5a";
   for (int shift = 24; shift >= 0; shift -= 8) {
     out += static_cast<char>(n >> shift);
@@ -73,14 +73,15 @@
   return out;
 }
 
-Millis AgeFrom(const json& j) {
+Millis AgeFromJson(const json& j) {
   return Millis(
-      std::clamp<int64_t>(WholeNumber<int64_t>(j), 0, kOldestAge.count()));
+      std::clamp<int64_t>(WholeNumber<int64_t>(j), 0, kMaxAge.count()));
 }
 
-// Decodes CBOR and runs `f` on it, turning a malformed value into an error.
+// Decodes CBOR and returns the result of `f` on it. Errors: InvalidArgument if
+// the bytes are not CBOR or `f` throws a json::exception.
 template <typename T, typename F>
-absl::StatusOr<T> Decode(absl::string_view bytes, F f) {
+absl::StatusOr<T> DecodeCbor(absl::string_view bytes, F f) {
   absl::StatusOr<json> j = FromCbor(bytes);
   if (!j.ok()) return j.status();
   try {
@@ -92,9 +93,9 @@
 
 }  // namespace
 
-int64_t PlacesVersion(const std::vector<ControlPlace>& places) {
+int64_t EndpointsVersion(const std::vector<ControlEndpoint>& endpoints) {
   std::string text;
-  for (const ControlPlace& p : places) {
+  for (const ControlEndpoint& p : endpoints) {
     absl::StrAppend(&text, p.address, " ", p.data_centre, "\n");
   }
   return std::max<int64_t>(1, static_cast<int64_t>(StableHash(text) >> 1));
@@ -105,7 +106,7 @@
 }
 
 absl::StatusOr<std::vector<std::string>> DecodeHello(absl::string_view bytes) {
-  return Decode<std::vector<std::string>>(
+  return DecodeCbor<std::vector<std::string>>(
       bytes, [](const json& j) { return j.get<std::vector<std::string>>(); });
 }
 
@@ -129,8 +130,9 @@
     r.asks = WholeNumber<uint64_t>(item.at(0));
     for (const json& c : item.at(1)) {
       r.crashes.push_back(Crash{WholeNumber<uint64_t>(c.at(0)),
-                                now - AgeFrom(c.at(1)), now - AgeFrom(c.at(2)),
-                                c.at(3).get<bool>(), c.at(4).get<bool>()});
+                                now - AgeFromJson(c.at(1)),
+                                now - AgeFromJson(c.at(2)), c.at(3).get<bool>(),
+                                c.at(4).get<bool>()});
     }
     out.push_back(std::move(r));
   }
@@ -144,7 +146,7 @@
 
 absl::StatusOr<std::vector<CrashRecord>> DecodeCrashRecords(
     absl::string_view bytes, TimePoint now) {
-  return Decode<std::vector<CrashRecord>>(
+  return DecodeCbor<std::vector<CrashRecord>>(
       bytes, [now](const json& j) { return CrashRecordsFromJson(j, now); });
 }
 
@@ -161,22 +163,22 @@
 
 absl::StatusOr<std::vector<LimitRecord>> DecodeLimitRecords(
     absl::string_view bytes, TimePoint now) {
-  return Decode<std::vector<LimitRecord>>(bytes, [now](const json& j) {
+  return DecodeCbor<std::vector<LimitRecord>>(bytes, [now](const json& j) {
     std::vector<LimitRecord> out;
     for (const json& item : j) {
       LimitRecord r;
       r.upstream = item.at(0).get<std::string>();
       if (!item.at(1).is_null()) r.per_s = item.at(1).get<double>();
-      r.at = now - AgeFrom(item.at(2));
-      r.since = now - AgeFrom(item.at(3));
+      r.at = now - AgeFromJson(item.at(2));
+      r.since = now - AgeFromJson(item.at(3));
       out.push_back(std::move(r));
     }
     return out;
   });
 }
 
-// Records of one process and window stand together: accounts, each followed by
-// its count.
+// Groups records by process and window. A group lists its accounts, each
+// followed by its count.
 std::string EncodeUsageRecords(absl::Span<const UsageRecord> records) {
   std::map<std::pair<uint64_t, int64_t>, json> groups;
   for (const UsageRecord& r : records) {
@@ -193,7 +195,7 @@
 
 absl::StatusOr<std::vector<UsageRecord>> DecodeUsageRecords(
     absl::string_view bytes) {
-  return Decode<std::vector<UsageRecord>>(bytes, [](const json& j) {
+  return DecodeCbor<std::vector<UsageRecord>>(bytes, [](const json& j) {
     std::vector<UsageRecord> out;
     for (const json& g : j) {
       const json& counts = g.at(2);
@@ -213,35 +215,35 @@
                  {"z", r.data_centre},
                  {"p", r.address},
                  {"s", r.serves_callers},
-                 {"w", r.watchers},
+                 {"w", r.serving_followers},
                  {"c", r.config_version},
                  {"l", r.list_version},
-                 {"k", r.places_version},
+                 {"k", r.endpoints_version},
                  {"q", r.quarantine_version},
-                 {"x", Binary(r.crashes)},
+                 {"x", ToJsonBinary(r.crashes)},
                  {"b", r.limits_version},
-                 {"y", Binary(r.limits)},
+                 {"y", ToJsonBinary(r.limits)},
                  {"t", r.unix_ms},
-                 {"u", Binary(r.usage)}});
+                 {"u", ToJsonBinary(r.usage)}});
 }
 
 absl::StatusOr<WatchRequest> DecodeWatchRequest(absl::string_view bytes) {
-  return Decode<WatchRequest>(bytes, [](const json& j) {
+  return DecodeCbor<WatchRequest>(bytes, [](const json& j) {
     WatchRequest r;
     r.name = j.at("n").get<std::string>();
     r.data_centre = j.at("z").get<std::string>();
     r.address = j.at("p").get<std::string>();
     r.serves_callers = j.at("s").get<bool>();
-    r.watchers = WholeNumber<int>(j.at("w"));
+    r.serving_followers = WholeNumber<int>(j.at("w"));
     r.config_version = WholeNumber<int64_t>(j.at("c"));
     r.list_version = WholeNumber<int64_t>(j.at("l"));
-    r.places_version = WholeNumber<int64_t>(j.at("k"));
+    r.endpoints_version = WholeNumber<int64_t>(j.at("k"));
     r.quarantine_version = WholeNumber<int64_t>(j, "q", 0);
-    if (Document d = DocumentAt(j, "x")) r.crashes = *d;
+    if (Document d = OptionalDocument(j, "x")) r.crashes = *d;
     r.limits_version = WholeNumber<int64_t>(j, "b", 0);
-    if (Document d = DocumentAt(j, "y")) r.limits = *d;
+    if (Document d = OptionalDocument(j, "y")) r.limits = *d;
     r.unix_ms = WholeNumber<int64_t>(j, "t", 0);
-    if (Document d = DocumentAt(j, "u")) r.usage = *d;
+    if (Document d = OptionalDocument(j, "u")) r.usage = *d;
     return r;
   });
 }
@@ -254,8 +256,9 @@
             {"t", r.unix_ms},        {"f", r.usage_fixed},
             {"b", r.limits_version}, {"r", r.place}};
   std::string head = ToCbor(j);
-  // The documents are the map's last pairs, so that their bytes may be
-  // anyone's. A map's first byte counts its pairs: fewer than 23.
+  // The documents are appended as the last pairs of the map, so that they need
+  // no copy. The first byte of a CBOR map holds its number of pairs, as long as
+  // that is below 24; there are fewer than 23.
   head[0] = static_cast<char>(head[0] + (r.config ? 1 : 0) + (r.list ? 1 : 0) +
                               (r.quarantine ? 1 : 0) + (r.limits ? 1 : 0));
   Payload out(std::move(head));
@@ -263,28 +266,29 @@
        {std::make_pair("d", r.config), std::make_pair("l", r.list),
         std::make_pair("x", r.quarantine), std::make_pair("y", r.limits)}) {
     if (!document) continue;
-    out.Append(absl::StrCat(ToCbor(name), BytesHeader(document->size())));
+    out.Append(
+        absl::StrCat(ToCbor(name), CborByteStringHeader(document->size())));
     out.Append(document);
   }
   return out;
 }
 
 absl::StatusOr<WatchReply> DecodeWatchReply(absl::string_view bytes) {
-  return Decode<WatchReply>(bytes, [](const json& j) {
+  return DecodeCbor<WatchReply>(bytes, [](const json& j) {
     WatchReply r;
     r.age_ms = WholeNumber<int64_t>(j.at("a"));
     r.config_version = WholeNumber<int64_t>(j.at("c"));
     r.list_age_ms = WholeNumber<int64_t>(j.at("g"));
     r.list_interval_ms = WholeNumber(j, "i", int64_t{0});
     r.serving = WholeNumber<int>(j.at("s"));
-    r.control = PlacesFrom(j.at("m"));
+    r.control = ControlEndpointsFromJson(j.at("m"));
     r.leader = j.at("h").get<std::string>();
-    r.config = DocumentAt(j, "d");
-    r.list = DocumentAt(j, "l");
+    r.config = OptionalDocument(j, "d");
+    r.list = OptionalDocument(j, "l");
     r.quarantine_version = WholeNumber<int64_t>(j, "q", 0);
-    r.quarantine = DocumentAt(j, "x");
+    r.quarantine = OptionalDocument(j, "x");
     r.limits_version = WholeNumber<int64_t>(j, "b", 0);
-    r.limits = DocumentAt(j, "y");
+    r.limits = OptionalDocument(j, "y");
     r.place = WholeNumber<int>(j, "r", -1);
     r.unix_ms = WholeNumber<int64_t>(j, "t", 0);
     r.usage_fixed = WholeNumber<int64_t>(j, "f", 0);
@@ -302,11 +306,11 @@
 absl::StatusOr<ListChange> DecodeListChange(absl::string_view bytes) {
   absl::StatusOr<std::string> text = Unpack(bytes, kMaxLinkBodyBytes);
   if (!text.ok()) return text.status();
-  return Decode<ListChange>(*text, [](const json& j) {
+  return DecodeCbor<ListChange>(*text, [](const json& j) {
     ListChange c;
     c.from = WholeNumber<int64_t>(j.at("f"));
     c.to = WholeNumber<int64_t>(j.at("t"));
-    for (const json& u : j.at("u")) c.changed.push_back(UpstreamFrom(u));
+    for (const json& u : j.at("u")) c.changed.push_back(UpstreamFromJson(u));
     c.gone = j.at("g").get<std::vector<std::string>>();
     return c;
   });
--- a/src/control_wire.h
+++ b/src/control_wire.h
@@ -1,6 +1,6 @@
-// What passes between control processes and those that follow them: the watch
-// (CBOR over HTTP/2) by which configurations and the upstream list spread, the
-// list as what has changed since the version that the asker holds.
+// Messages between control processes and their followers: the watch (CBOR over
+// HTTP/2), which publishes configurations and the upstream list. The list is
+// sent as a difference from the version that the follower holds.
 #ifndef MEDLARWALK_CONTROL_WIRE_H_
 #define MEDLARWALK_CONTROL_WIRE_H_
 
@@ -19,81 +19,88 @@
 
 namespace medlarwalk {
 
-// Paths of the links between our own processes.
-inline constexpr char kReplicaPath[] = "/replica";  // A replica message.
-inline constexpr char kWatchPath[] = "/watch";      // A watch request.
-inline constexpr char kSubmitPath[] = "/submit";    // A configuration.
-inline constexpr char kReadPath[] = "/read";        // Read of the newest one.
-inline constexpr char kHelloPath[] = "/hello";      // Where the group is.
-inline constexpr char kConfirmPath[] = "/confirm";  // The newest version.
+// HTTP/2 paths of calls between medlarwalk processes.
+inline constexpr char kReplicaPath[] = "/replica";  // Replication messages.
+inline constexpr char kWatchPath[] = "/watch";      // Watch requests.
+inline constexpr char kSubmitPath[] = "/submit";    // Submits a configuration.
+inline constexpr char kReadPath[] = "/read";        // Reads the newest one.
+inline constexpr char kHelloPath[] = "/hello";      // Announces the members.
+inline constexpr char kConfirmPath[] = "/confirm";  // Newest config version.
 
-// Asks for what is newer than the asker holds. Held back for a while when
-// there is nothing.
+// Asks for everything newer than the versions that the follower holds. A
+// control process holds the request open for a while if nothing is newer.
 struct WatchRequest {
-  std::string name;         // Of the asker.
-  std::string data_centre;  // Where it is.
-  std::string address;      // Where others may ask it; empty: nowhere.
+  std::string name;         // Name of the follower.
+  std::string data_centre;  // Data centre of the follower.
+  std::string address;      // Where others can watch the follower, or "".
   bool serves_callers = false;
-  int watchers = 0;  // Serving processes that follow the asker in turn.
+  // Serving processes that watch this follower directly.
+  int serving_followers = 0;
   int64_t config_version = 0;
   int64_t list_version = 0;
-  int64_t places_version = 0;  // Of the control processes it knows.
+  // EndpointsVersion() of the control processes known to the follower.
+  int64_t endpoints_version = 0;
   int64_t quarantine_version = 0;
-  // What it reports: an array of crash records, encoded; "" for none.
+  // Reported crash records, encoded as an array; "" if there are none.
   std::string crashes;
   int64_t limits_version = 0;
-  // Limits of upstreams that it heard of, encoded; "" for none.
+  // Reported limits of upstreams, encoded; "" if there are none.
   std::string limits;
-  // Its time of day, in ms since the start of 1970; 0: not told.
+  // The follower's wall clock, in Unix milliseconds; 0 if not given.
   int64_t unix_ms = 0;
-  // Its usage records, encoded; "" for none.
+  // Reported usage records, encoded; "" if there are none.
   std::string usage;
 };
 
-// A control process, and where it is; "" where that is not known.
-struct ControlPlace {
+// Address and data centre of a control process. The data centre is "" if it is
+// unknown.
+struct ControlEndpoint {
   std::string address;
   std::string data_centre;
 };
 
-// Tells one set of places from another; never 0.
-int64_t PlacesVersion(const std::vector<ControlPlace>& places);
+// Returns a hash that identifies the set of endpoints; never 0.
+int64_t EndpointsVersion(const std::vector<ControlEndpoint>& endpoints);
 
 struct WatchReply {
-  // How long ago the answerer was surely in step with a leader, in ms;
-  // negative when it never was.
+  // Time since the answering process was last known to be in sync with a
+  // leader, in ms; negative if it never was.
   int64_t age_ms = -1;
   int64_t config_version = 0;
-  Document config;  // When newer than asked for, else null.
-  Document list;    // A ListChange when another than asked for, else null.
+  Document config;  // Null unless newer than the follower's version.
+  // A ListChange; null if the follower holds this version.
+  Document list;
   int64_t quarantine_version = 0;
-  // Crash records, encoded, when others than asked for, else null.
+  // Encoded crash records; null if the follower holds this version.
   Document quarantine;
   int64_t limits_version = 0;
-  // Limits of upstreams, encoded, when others than asked for, else null.
+  // Encoded limits of upstreams; null if the follower holds this version.
   Document limits;
-  // How long ago the list was read, in ms; negative when never. And the time
-  // from one reading to the next.
+  // Time since the upstream list was read from its source, in ms; negative if
+  // it was never read.
   int64_t list_age_ms = -1;
+  // Time between two reads of the upstream list, in ms.
   int64_t list_interval_ms = 0;
-  int serving = 0;  // Processes that serve callers, as far as known.
-  // The asker's place among these, or the first of those that follow it;
-  // negative: not known.
+  int serving = 0;  // Number of known processes that serve callers.
+  // Index of the follower among the serving processes. If the follower is a
+  // control process: index of the first serving process behind it. Negative if
+  // unknown.
   int place = -1;
-  // All that are known, when others than the asker knows, else none.
-  std::vector<ControlPlace> control;
-  std::string leader;  // Address of the leader, if known.
-  // The group's time, in ms since the start of 1970; 0: not known.
+  // All known control processes; empty if the follower knows the same ones.
+  std::vector<ControlEndpoint> control;
+  std::string leader;  // Address of the leader; "" if unknown.
+  // The group's time, in Unix milliseconds; 0 if unknown.
   int64_t unix_ms = 0;
-  // Usage of windows through this one is fixed; 0: none.
+  // Newest window whose usage is final, as is that of all windows before it; 0
+  // if there is none.
   int64_t usage_fixed = 0;
 };
 
-// The addresses of the group's members, told to processes that seeds name but
-// that keep no state: after a start they know of nobody else.
+// Encodes the addresses of the group's members. Members send them to seeds that
+// keep no state: after a start, such a process knows only its seeds.
 std::string EncodeHello(const std::vector<std::string>& control);
 absl::StatusOr<std::vector<std::string>> DecodeHello(absl::string_view bytes);
-// How long ago each crash was goes with the records: clocks differ.
+// Encodes times as ages relative to `now`, because clocks of hosts differ.
 nlohmann::json CrashRecordsToJson(absl::Span<const CrashRecord> records,
                                   TimePoint now);
 // Throws nlohmann::json::exception on a malformed value.
@@ -115,10 +122,12 @@
     absl::string_view bytes);
 std::string EncodeWatchRequest(const WatchRequest& r);
 absl::StatusOr<WatchRequest> DecodeWatchRequest(absl::string_view bytes);
-// Documents are not copied: all askers' replies share them.
+// Encodes a reply without copying its documents: the replies to all followers
+// share them.
 Payload EncodeWatchReply(const WatchReply& r);
 absl::StatusOr<WatchReply> DecodeWatchReply(absl::string_view bytes);
-// Packed: the ids and addresses of a whole list have much in common.
+// Encodes and compresses a change. Ids and addresses within a list are similar,
+// so that it compresses well.
 Document EncodeListChange(const ListChange& c);
 // Errors: InvalidArgument.
 absl::StatusOr<ListChange> DecodeListChange(absl::string_view bytes);
--- a/src/link_pool.cc
+++ b/src/link_pool.cc
@@ -6,14 +6,14 @@
 namespace medlarwalk {
 namespace {
 
-// A link is asked for a sign of life this often, and given up when none came
-// for the second: a host without power or behind a cut sends no reset.
+// Interval of pings on a link, and time without an answer after which the link
+// is closed. A host that lost power or its network sends no reset.
 constexpr Millis kPingInterval(300);
 constexpr Millis kPingTimeout(900);
 
 }  // namespace
 
-H2Client& LinkPool::To(const std::string& address) {
+H2Client& LinkPool::LinkTo(const std::string& address) {
   std::unique_ptr<H2Client>& c = clients_[address];
   if (!c) {
     Endpoint e;
@@ -41,7 +41,7 @@
   call.on_close = [status, answer, done](absl::Status s, bool) {
     if (done) done(s.ok() ? *status : 0, *answer);
   };
-  return To(address).Submit(std::move(call));
+  return LinkTo(address).Submit(std::move(call));
 }
 
 size_t LinkPool::queued_bytes() const {
--- a/src/link_pool.h
+++ b/src/link_pool.h
@@ -1,5 +1,5 @@
-// The HTTP/2 links of one process to others of ours, by address, and calls
-// over them.
+// HTTP/2 links from this process to other medlarwalk processes, by address, and
+// calls over them.
 #ifndef MEDLARWALK_LINK_POOL_H_
 #define MEDLARWALK_LINK_POOL_H_
 
@@ -16,23 +16,23 @@
 
 namespace medlarwalk {
 
-// Thread safety: loop thread only.
+// Opens one link per address. Thread safety: loop thread only.
 class LinkPool {
  public:
   LinkPool(struct ev_loop* loop, const Clock& clock)
       : loop_(loop), clock_(clock) {}
 
-  // The link to `address` ("ip:port"), opened on first use.
-  H2Client& To(const std::string& address);
+  // Returns the link to `address` ("ip:port"). Opens it on first use.
+  H2Client& LinkTo(const std::string& address);
 
-  // What a call came to: the status (0 when there was no whole answer) and
-  // the body.
+  // Receives the HTTP status and body of an answer. The status is 0 if no
+  // complete answer arrived.
   using Done = std::function<void(int status, const std::string& body)>;
-  // Posts `body`; returns the stream's id, for Cancel, or 0. `progress` is
-  // called whenever a part of the answer has come.
+  // Posts `body` and returns a handle for H2Client::Cancel, or 0. Calls
+  // `progress` whenever a part of the answer has arrived.
   int32_t Post(const std::string& address, absl::string_view path, Payload body,
                Done done, std::function<void()> progress = nullptr);
-  // Bytes of calls that wait on all links for their peers to take them.
+  // Returns the bytes of calls on all links that are queued to be sent.
   size_t queued_bytes() const;
 
  private:
--- a/src/lister.cc
+++ b/src/lister.cc
@@ -11,33 +11,36 @@
 namespace {
 
 constexpr auto kConnectTimeout = Millis(500);
-// A page that has not come after this is given up, and the reading with it.
+// Time limit of a page. A page that takes longer fails the whole read.
 constexpr auto kPageTimeout = Millis(1000);
-// So is a reading that is not whole after this, counted over all its pages:
-// what its first pages said is too old by then.
+// Time limit of a read over all its pages. After this time, the contents of the
+// first pages are too old.
 constexpr auto kReadTimeout = std::chrono::seconds(3);
-// A source that is asked more often than it allows refuses the rest of a
-// second; beginning anew would use that up with the same first pages each time,
-// and a list of more pages than it allows a second would never be read.
-constexpr auto kPutOff = Millis(150);
-constexpr int kTooManyCalls = 429;
-// Between readings: the least, the most, and for each upstream of the list.
-constexpr Duration kLeastInterval = Millis(600);
-constexpr Duration kMostInterval = Millis(1500);
-constexpr Duration kIntervalOfUpstream = std::chrono::microseconds(500);
-constexpr double kShareOfCalls = 0.5;
-// A list of more pages than this is taken for a loop in the source.
+// Delay before a page is retried that the source rejected for its rate limit.
+// Such a source rejects all calls for the rest of the second. A read that
+// restarted from the first page would use up the calls of the next second with
+// the same pages, and never complete a list of more pages than the source
+// accepts calls per second.
+constexpr auto kRetryDelay = Millis(150);
+constexpr int kHttpTooManyRequests = 429;
+// Time between two reads: minimum, maximum, and amount per listed upstream.
+constexpr Duration kMinInterval = Millis(600);
+constexpr Duration kMaxInterval = Millis(1500);
+constexpr Duration kIntervalPerUpstream = std::chrono::microseconds(500);
+// Share of the calls accepted by the source that reads may use.
+constexpr double kMaxCallShare = 0.5;
+// A list with more pages than this is treated as a loop in the source.
 constexpr int kMaxPages = 200;
 
 }  // namespace
 
 Duration ListInterval(const ListLength& length, double calls_per_s) {
   Duration d = std::clamp<Duration>(
-      static_cast<int64_t>(length.upstreams) * kIntervalOfUpstream,
-      kLeastInterval, kMostInterval);
+      static_cast<int64_t>(length.upstreams) * kIntervalPerUpstream,
+      kMinInterval, kMaxInterval);
   if (calls_per_s <= 0) return d;
   return std::max(d,
-                  BoundedSeconds(length.pages / (calls_per_s * kShareOfCalls)));
+                  BoundedSeconds(length.pages / (calls_per_s * kMaxCallShare)));
 }
 
 Lister::Lister(struct ev_loop* loop, const Clock& clock, ListSource source)
@@ -52,33 +55,33 @@
 
 void Lister::Read(Done done) {
   done_ = std::move(done);
-  list_.clear();
-  pages_ = 0;
-  unusable_ = 0;
-  began_ = clock_.Now();
-  ask_again_at_ = {};
-  Page("");
+  upstreams_.clear();
+  pages_read_ = 0;
+  unusable_entries_ = 0;
+  read_began_at_ = clock_.Now();
+  retry_at_ = {};
+  RequestPage("");
 }
 
 void Lister::Tick() {
   if (!busy()) return;
   TimePoint now = clock_.Now();
-  bool put_off = ask_again_at_ != TimePoint{};
-  bool late = now - began_ >= kReadTimeout ||
-              (!put_off && now - asked_at_ >= kPageTimeout);
-  if (!late) {
-    if (!put_off || now < ask_again_at_) return;
-    ask_again_at_ = {};
-    Page(std::exchange(put_off_page_, ""));
+  bool deferred = retry_at_ != TimePoint{};
+  bool timed_out = now - read_began_at_ >= kReadTimeout ||
+                   (!deferred && now - page_requested_at_ >= kPageTimeout);
+  if (!timed_out) {
+    if (!deferred || now < retry_at_) return;
+    retry_at_ = {};
+    RequestPage(std::exchange(deferred_token_, ""));
     return;
   }
   if (client_) client_->Cancel();
   client_.reset();
-  End(absl::UnavailableError("timed out"));
+  Finish(absl::UnavailableError("timed out"));
 }
 
-void Lister::Page(const std::string& token) {
-  asked_at_ = clock_.Now();
+void Lister::RequestPage(const std::string& token) {
+  page_requested_at_ = clock_.Now();
   if (!client_ || !client_->open() ||
       clock_.Now() - client_->idle_since() > client_->keep_for()) {
     client_ = Http1Client::Open(loop_, clock_, source_.at, kConnectTimeout);
@@ -94,53 +97,55 @@
   call.on_body = [this](absl::string_view d) {
     body_.append(d.data(), d.size());
   };
-  call.on_end = [this, token](CallEnd end, absl::string_view why) {
-    PageDone(token, end, why);
+  call.on_end = [this, token](CallEnd end, absl::string_view reason) {
+    OnPageEnd(token, end, reason);
   };
   client_->Start(std::move(call));
 }
 
-void Lister::PageDone(const std::string& token, CallEnd end,
-                      absl::string_view why) {
-  if (end == CallEnd::kWhole && status_ == kTooManyCalls) {
-    put_off_page_ = token;
-    // Many may have been refused at once: they do not come back together.
-    std::uniform_real_distribution<double> spread(0.5, 1.5);
-    ask_again_at_ =
-        clock_.Now() + BoundedSeconds(ToSeconds(kPutOff) * spread(random_));
+void Lister::OnPageEnd(const std::string& token, CallEnd end,
+                       absl::string_view reason) {
+  if (end == CallEnd::kWhole && status_ == kHttpTooManyRequests) {
+    deferred_token_ = token;
+    // Randomizes the delay: processes rejected together must not retry
+    // together.
+    std::uniform_real_distribution<double> jitter(0.5, 1.5);
+    retry_at_ =
+        clock_.Now() + BoundedSeconds(ToSeconds(kRetryDelay) * jitter(random_));
     return;
   }
   if (end != CallEnd::kWhole || status_ != 200) {
-    End(absl::UnavailableError(absl::StrCat("status ", status_, " ", why)));
+    Finish(
+        absl::UnavailableError(absl::StrCat("status ", status_, " ", reason)));
     return;
   }
   absl::StatusOr<ListPage> page = source_.decode(body_);
   if (!page.ok()) {
-    End(page.status());
+    Finish(page.status());
     return;
   }
-  unusable_ += page->unusable;
+  unusable_entries_ += page->unusable;
   for (UpstreamInfo& u : page->upstreams) {
-    list_.push_back(std::move(u));
+    upstreams_.push_back(std::move(u));
   }
-  ++pages_;
+  ++pages_read_;
   if (page->next.empty()) {
-    if (unusable_ != unusable_told_) {
-      LogWarn("list_entries_unusable", {{"entries", unusable_}});
-      unusable_told_ = unusable_;
+    if (unusable_entries_ != logged_unusable_) {
+      LogWarn("list_entries_unusable", {{"entries", unusable_entries_}});
+      logged_unusable_ = unusable_entries_;
     }
-    length_ = {list_.size(), pages_};
-    End(std::move(list_));
+    length_ = {upstreams_.size(), pages_read_};
+    Finish(std::move(upstreams_));
     return;
   }
-  if (pages_ >= kMaxPages) {
-    End(absl::UnavailableError("too many pages"));
+  if (pages_read_ >= kMaxPages) {
+    Finish(absl::UnavailableError("too many pages"));
     return;
   }
-  Page(page->next);
+  RequestPage(page->next);
 }
 
-void Lister::End(absl::StatusOr<std::vector<UpstreamInfo>> r) {
+void Lister::Finish(absl::StatusOr<std::vector<UpstreamInfo>> r) {
   Done done = std::move(done_);
   done_ = nullptr;
   if (done) done(std::move(r));
--- a/src/lister.h
+++ b/src/lister.h
@@ -1,5 +1,6 @@
-// Reads the list of upstreams from its outside source, page by page, on one
-// kept connection. How a page is asked for and read is passed in.
+// Reads the list of upstreams from its external source, page by page, over one
+// persistent connection. The caller provides the encoding of requests and the
+// decoding of pages.
 #ifndef MEDLARWALK_LISTER_H_
 #define MEDLARWALK_LISTER_H_
 
@@ -21,37 +22,41 @@
 // One page of the list.
 struct ListPage {
   std::vector<UpstreamInfo> upstreams;
-  std::string next;  // Empty on the last page.
-  int unusable = 0;  // Entries that name no upstream.
+  std::string next;  // Token of the next page; empty on the last page.
+  int unusable = 0;  // Number of entries that do not describe an upstream.
 };
 
-// The outside source of the list.
+// The external source of the list.
 struct ListSource {
   Endpoint at;
-  // The request for the page `token` ("" for the first).
+  // Returns the request for the page with this token ("" for the first page).
   std::function<OutgoingRequest(absl::string_view token)> encode;
+  // Parses the body of an answer.
   std::function<absl::StatusOr<ListPage>(absl::string_view body)> decode;
-  // Calls a second that it takes from all processes together; 0: any number.
+  // Calls per second that the source accepts from all processes together; 0 if
+  // unlimited.
   double calls_per_s = 0;
 };
 
-// How long a list is.
+// Size of a list.
 struct ListLength {
   size_t upstreams = 0;
   int pages = 0;
 };
 
-// The time from one reading of a list of that length to the next. Load pattern:
-// one process reads the list for all, and each reading is as long as the list:
-// of thousands of upstreams, read as often as a small one, it fills the link of
-// its host. A small list is read often enough that a leaving upstream is known
-// well within the seconds allowed; a long one less often, so that reading costs
-// the same, but still within half of the least time that operators allow; and
-// never at more than half of the calls that the source takes, as others must
-// reach it, too.
+// Returns the time between two reads of a list of this size. Load pattern: one
+// process reads the whole list for all others. A list of thousands of
+// upstreams, read as often as a small one, would saturate the network link of
+// that host.
+// - A small list is read often enough that a draining upstream is known well
+//   within the seconds allowed.
+// - A long list is read less often, at the same cost per second. The interval
+//   stays below half of the shortest time that operators allow.
+// - Reads use at most half of the calls that the source accepts, because other
+//   processes must reach it too.
 Duration ListInterval(const ListLength& length, double calls_per_s);
 
-// Thread safety: loop thread only.
+// Reads the list of upstreams. Thread safety: loop thread only.
 class Lister {
  public:
   using Done = std::function<void(absl::StatusOr<std::vector<UpstreamInfo>>)>;
@@ -62,34 +67,36 @@
 
   // Reads the whole list. Precondition: !busy(). Errors: Unavailable.
   void Read(Done done);
-  // Goes on with a page that the source would not give yet, and gives up a
-  // reading that takes too long; call regularly.
+  // Retries a page that the source rejected for its rate limit, and fails a
+  // read that takes too long. Must be called regularly.
   void Tick();
   bool busy() const { return static_cast<bool>(done_); }
-  // Of the last whole reading; nothing before it.
+  // Returns the size of the list at the last complete read; zeros before it.
   const ListLength& length() const { return length_; }
 
  private:
-  void Page(const std::string& token);
-  void PageDone(const std::string& token, CallEnd end, absl::string_view why);
-  void End(absl::StatusOr<std::vector<UpstreamInfo>> r);
+  void RequestPage(const std::string& token);
+  void OnPageEnd(const std::string& token, CallEnd end,
+                 absl::string_view reason);
+  void Finish(absl::StatusOr<std::vector<UpstreamInfo>> r);
 
   struct ev_loop* loop_;
   const Clock& clock_;
   ListSource source_;
   std::shared_ptr<Http1Client> client_;
   Done done_;
-  std::vector<UpstreamInfo> list_;
-  int pages_ = 0;  // Read so far.
+  std::vector<UpstreamInfo> upstreams_;
+  int pages_read_ = 0;  // Pages received in the current read.
   ListLength length_;
-  int unusable_ = 0;       // In this reading.
-  int unusable_told_ = 0;  // To the log.
+  int unusable_entries_ = 0;  // Unusable entries in the current read.
+  int logged_unusable_ = 0;   // Number of unusable entries logged last.
   int status_ = 0;
   std::string body_;
-  TimePoint began_{};
-  TimePoint asked_at_{};      // For the page under way.
-  std::string put_off_page_;  // The source would not give it yet.
-  TimePoint ask_again_at_{};  // For it; the epoch when none is put off.
+  TimePoint read_began_at_{};
+  TimePoint page_requested_at_{};  // When the last page was requested.
+  std::string deferred_token_;     // Token of a page that the source rejected.
+  TimePoint
+      retry_at_{};  // When to retry that page; the epoch if there is none.
   std::minstd_rand random_;
 };
 
--- a/src/watch_client.cc
+++ b/src/watch_client.cc
@@ -10,12 +10,12 @@
 namespace {
 
 constexpr double kTickSeconds = 0.025;
-// Pause before the next control process is asked after a failure, so that a
-// fleet without control does not hammer what is left of it.
-constexpr auto kRetryPause = Millis(40);
-// A process nearer than the one that is followed is asked again this long after
-// the last failure: it may have been the one that failed.
-constexpr auto kReturnAfter = std::chrono::seconds(3);
+// Delay before the next control process is tried after a failure. Without it, a
+// fleet whose control processes fail would overload the remaining ones.
+constexpr auto kRetryDelay = Millis(40);
+// Time after the last failure when the preferred control process is tried
+// again. It may be the one that failed, and may be back.
+constexpr auto kReturnToPreferredAfter = std::chrono::seconds(3);
 
 }  // namespace
 
@@ -40,150 +40,162 @@
 
 void WatchClient::Start() {
   ev_timer_start(loop_, &tick_);
-  Ask();
+  SendWatch();
 }
 
 void WatchClient::Pin(const std::string& address) {
   if (pinned_ == address) return;
   pinned_ = address;
-  if (asking_ && target_ != address) {
-    GiveUpAsk();
-    not_before_ = {};
+  if (watch_open_ && target_ != address) {
+    CancelWatch();
+    no_watch_before_ = {};
   }
 }
 
-void WatchClient::Pause(bool paused) {
-  if (paused) GiveUpAsk();
+void WatchClient::SetPaused(bool paused) {
+  if (paused) CancelWatch();
   paused_ = paused;
 }
 
-void WatchClient::GiveUpAsk() {
-  if (asking_ && stream_) links_.To(target_).Cancel(stream_);
-  asking_ = false;
+void WatchClient::CancelWatch() {
+  if (watch_open_ && stream_) links_.LinkTo(target_).Cancel(stream_);
+  watch_open_ = false;
   stream_ = 0;
 }
 
 void WatchClient::AskAgain() {
-  if (!asking_ || began_at_ != TimePoint{}) return;
-  std::string before = target_;
-  TimePoint heard = heard_at_;
-  GiveUpAsk();
-  Ask();
-  // However often it is asked again, a silent process stays silent.
-  if (target_ == before) heard_at_ = heard;
+  if (!watch_open_ || answer_began_at_ != TimePoint{}) return;
+  std::string previous_target = target_;
+  TimePoint last_bytes_at = last_bytes_at_;
+  CancelWatch();
+  SendWatch();
+  // Keeps the time of the last bytes: a restarted watch must not extend the
+  // timeout of a silent target.
+  if (target_ == previous_target) last_bytes_at_ = last_bytes_at;
 }
 
-// Those of this data centre first, so that what spreads crosses between two of
-// them once and not for each follower; then in an order of this process's own,
-// so that many followers spread over the control processes.
-std::vector<std::string> WatchClient::Targets() const {
+// Returns the control processes in order of preference. Those of the own data
+// centre come first: data then crosses between data centres once, not once per
+// follower. The order is otherwise a hash with the own name, which spreads the
+// followers over the control processes.
+std::vector<std::string> WatchClient::OrderedTargets() const {
   if (!pinned_.empty()) return {pinned_};
-  std::vector<ControlPlace> all = known_;
-  // Seeds stay in reach: all that is known may have been replaced meanwhile.
-  if (misses_ >= static_cast<int>(all.size())) {
-    for (const std::string& s : seeds_) all.push_back({s, ""});
+  std::vector<ControlEndpoint> candidates = known_endpoints_;
+  // Falls back to the seeds after as many failures as there are known control
+  // processes: all of those may have been replaced.
+  if (consecutive_failures_ >= static_cast<int>(candidates.size())) {
+    for (const std::string& s : seeds_) candidates.push_back({s, ""});
   }
-  auto order = [&](const ControlPlace& p) {
+  auto rank = [&](const ControlEndpoint& p) {
     return std::make_pair(p.data_centre != options_.data_centre,
                           StableHash(p.address + options_.name));
   };
-  std::sort(all.begin(), all.end(),
-            [&](const ControlPlace& a, const ControlPlace& b) {
-              return order(a) < order(b);
+  std::sort(candidates.begin(), candidates.end(),
+            [&](const ControlEndpoint& a, const ControlEndpoint& b) {
+              return rank(a) < rank(b);
             });
-  std::vector<std::string> out;
-  for (ControlPlace& p : all) {
-    if (std::find(out.begin(), out.end(), p.address) == out.end()) {
-      out.push_back(std::move(p.address));
+  std::vector<std::string> addresses;
+  for (ControlEndpoint& p : candidates) {
+    if (std::find(addresses.begin(), addresses.end(), p.address) ==
+        addresses.end()) {
+      addresses.push_back(std::move(p.address));
     }
   }
-  return out;
+  return addresses;
 }
 
-// Stays with the process it follows, but for one nearer that may be back.
+// Keeps the followed process unless it is no longer a candidate, or the
+// preferred candidate may have recovered from its failure.
 void WatchClient::ChooseTarget(TimePoint now) {
-  std::vector<std::string> all = Targets();
-  if (all.empty()) return;
-  bool known = std::find(all.begin(), all.end(), target_) != all.end();
-  bool back =
-      now - turned_away_at_ >= kReturnAfter && links_.To(all[0]).usable();
-  if (!known || back) target_ = all[0];
+  std::vector<std::string> candidates = OrderedTargets();
+  if (candidates.empty()) return;
+  bool is_candidate = std::find(candidates.begin(), candidates.end(),
+                                target_) != candidates.end();
+  bool preferred_may_be_back =
+      now - target_failed_at_ >= kReturnToPreferredAfter &&
+      links_.LinkTo(candidates[0]).usable();
+  if (!is_candidate || preferred_may_be_back) target_ = candidates[0];
 }
 
-void WatchClient::NextTarget(absl::string_view why) {
-  ++misses_;
-  if (options_.reports) options_.reports->Lost();
+void WatchClient::SwitchTarget(absl::string_view reason) {
+  ++consecutive_failures_;
+  if (options_.reports) options_.reports->OnTargetLost();
   LogEvent(
       "control_lost",
       {{"control", target_},
-       {"why", why},
-       {"waited_ms", ToMs(clock_.Now() - heard_at_)},
+       {"why", reason},
+       {"waited_ms", ToMs(clock_.Now() - last_bytes_at_)},
        {"turn_ms", options_.longest_turn ? ToMs(options_.longest_turn()) : -1},
        {"config_version", state_.config_version}});
-  std::vector<std::string> all = Targets();
-  if (all.empty()) return;
-  auto it = std::find(all.begin(), all.end(), target_);
-  size_t next = it == all.end() ? 0 : (it - all.begin() + 1) % all.size();
-  target_ = all[next];
-  turned_away_at_ = clock_.Now();
-  not_before_ = turned_away_at_ + kRetryPause;
+  std::vector<std::string> candidates = OrderedTargets();
+  if (candidates.empty()) return;
+  auto it = std::find(candidates.begin(), candidates.end(), target_);
+  size_t next = it == candidates.end()
+                    ? 0
+                    : (it - candidates.begin() + 1) % candidates.size();
+  target_ = candidates[next];
+  target_failed_at_ = clock_.Now();
+  no_watch_before_ = target_failed_at_ + kRetryDelay;
 }
 
-void WatchClient::Ask() {
+void WatchClient::SendWatch() {
   TimePoint now = clock_.Now();
-  if (paused_ || asking_ || now < not_before_) return;
+  if (paused_ || watch_open_ || now < no_watch_before_) return;
   ChooseTarget(now);
   if (target_.empty()) return;
-  asking_ = true;
-  heard_at_ = now;
-  began_at_ = {};
-  if (options_.reports) options_.reports->Fill(target_, now, &state_);
-  uint64_t ask = ++ask_;
+  watch_open_ = true;
+  last_bytes_at_ = now;
+  answer_began_at_ = {};
+  if (options_.reports) options_.reports->AttachPending(target_, now, &state_);
+  uint64_t watch_number = ++watch_number_;
   stream_ = links_.Post(
       target_, kWatchPath, Payload(EncodeWatchRequest(state_)),
-      [this, ask](int status, const std::string& body) {
-        Answered(ask, body, status == 200);
+      [this, watch_number](int status, const std::string& body) {
+        OnAnswer(watch_number, body, status == 200);
       },
-      [this, ask] {
-        if (ask != ask_) return;
-        heard_at_ = clock_.Now();
-        if (began_at_ == TimePoint{}) began_at_ = heard_at_;
+      [this, watch_number] {
+        if (watch_number != watch_number_) return;
+        last_bytes_at_ = clock_.Now();
+        if (answer_began_at_ == TimePoint{}) answer_began_at_ = last_bytes_at_;
       });
 }
 
-void WatchClient::Answered(uint64_t ask, const std::string& body, bool ok) {
-  if (!asking_ || ask != ask_) return;
-  asking_ = false;
+void WatchClient::OnAnswer(uint64_t watch_number, const std::string& body,
+                           bool ok) {
+  if (!watch_open_ || watch_number != watch_number_) return;
+  watch_open_ = false;
   stream_ = 0;
   absl::StatusOr<WatchReply> r = DecodeWatchReply(body);
   if (!ok || !r.ok()) {
-    NextTarget("no answer");
+    SwitchTarget("no answer");
     return;
   }
-  if (options_.reports) options_.reports->Confirmed();
+  if (options_.reports) options_.reports->OnDelivered();
   state_.quarantine_version = r->quarantine_version;
   state_.limits_version = r->limits_version;
-  bool in_step = r->age_ms >= 0 && r->age_ms <= ToMs(options_.max_age);
-  if (in_step) misses_ = 0;
-  // Also from one out of step: it may know where the others are.
+  bool in_sync = r->age_ms >= 0 && r->age_ms <= ToMs(options_.max_age);
+  if (in_sync) consecutive_failures_ = 0;
+  // An out-of-sync process may still know the other control processes.
   if (!r->control.empty()) {
-    known_ = r->control;
-    state_.places_version = PlacesVersion(known_);
+    known_endpoints_ = r->control;
+    state_.endpoints_version = EndpointsVersion(known_endpoints_);
   }
-  // What it says of the list's age was so when the first of it came.
-  if (r->list_age_ms >= 0) r->list_age_ms += ToMs(clock_.Now() - began_at_);
-  on_reply_(*r, in_step);
-  if (!in_step) NextTarget("out of step");
+  // The reported age of the list dates from the first bytes of the answer.
+  if (r->list_age_ms >= 0)
+    r->list_age_ms += ToMs(clock_.Now() - answer_began_at_);
+  on_reply_(*r, in_sync);
+  if (!in_sync) SwitchTarget("out of step");
 }
 
 void WatchClient::OnTick(struct ev_loop*, ev_timer* w, int) {
   auto* self = static_cast<WatchClient*>(w->data);
   TimePoint now = self->clock_.Now();
-  if (self->asking_ && now - self->heard_at_ > self->options_.answer_timeout) {
-    self->GiveUpAsk();
-    self->NextTarget("silent");
+  if (self->watch_open_ &&
+      now - self->last_bytes_at_ > self->options_.answer_timeout) {
+    self->CancelWatch();
+    self->SwitchTarget("silent");
   }
-  self->Ask();
+  self->SendWatch();
 }
 
 }  // namespace medlarwalk
--- a/src/watch_client.h
+++ b/src/watch_client.h
@@ -1,5 +1,5 @@
-// Follows the control processes: holds a watch at one of them and changes to
-// another when it does not answer or is itself out of step with a leader.
+// Follows the control processes: keeps a watch open at one of them. Switches to
+// another if that one does not answer or is out of sync with the leader.
 #ifndef MEDLARWALK_WATCH_CLIENT_H_
 #define MEDLARWALK_WATCH_CLIENT_H_
 
@@ -19,24 +19,26 @@
 struct WatchOptions {
   std::string name;
   bool serves_callers = false;
-  // A watch is held for less than this; one of which nothing has come for so
-  // long is given up and another control process asked. An answer that takes
-  // longer in all is none the worse: by the next process it would, too.
+  // Time without received bytes after which a watch is canceled and another
+  // control process is tried. Must exceed the time for which a control process
+  // holds a watch open. The total time of an answer is not limited: a large
+  // answer would be as slow from any other control process.
   Duration answer_timeout = Millis(900);
-  // The answerer must have been in step with a leader this lately.
+  // The answering process must have been in sync with a leader within this
+  // time; see WatchReply::age_ms.
   Duration max_age = Millis(800);
-  std::string data_centre;  // Control processes there are asked first.
-  std::string address;      // Where others may ask this process, if they may.
-  // The longest turn of the loop of late, for the log; may be empty.
+  std::string data_centre;  // Control processes there are preferred.
+  std::string address;      // Where others can watch this process, or "".
+  // Returns the longest recent loop iteration, for the log. May be empty.
   std::function<Duration()> longest_turn;
-  // What goes to the process that is followed; may be null.
+  // Records to report to the followed process. May be null.
   WatchReports* reports = nullptr;
 };
 
-// Thread safety: loop thread only.
+// Watches one control process at a time. Thread safety: loop thread only.
 class WatchClient {
  public:
-  using OnReply = std::function<void(const WatchReply&, bool in_step)>;
+  using OnReply = std::function<void(const WatchReply&, bool in_sync)>;
   // `seeds`: addresses ("ip:port") of control processes.
   WatchClient(struct ev_loop* loop, const Clock& clock, WatchOptions options,
               std::vector<std::string> seeds, OnReply on_reply);
@@ -45,46 +47,50 @@
   WatchClient& operator=(const WatchClient&) = delete;
 
   void Start();
-  // Follows only this address from now on ("" for any): a control process
-  // follows its leader.
+  // Follows only this address from now on, or any control process if it is "".
+  // Control processes pin the leader.
   void Pin(const std::string& address);
-  // Stops or resumes asking: a leader follows nobody.
-  void Pause(bool paused);
-  // Asks at once, with what is there to report, where nothing of the answer
-  // under way has come.
+  // Stops or resumes sending watches. The leader pauses: it follows no process.
+  void SetPaused(bool paused);
+  // Replaces the open watch with a new one, which carries the pending reports.
+  // Does nothing if no watch is open or its answer has begun to arrive.
   void AskAgain();
   void set_seeds(std::vector<std::string> seeds) { seeds_ = std::move(seeds); }
-  // What the asker holds and says of itself, sent with the next watch.
+  // Returns the request that the next watch sends. Callers update the versions
+  // that they hold.
   WatchRequest& state() { return state_; }
 
  private:
   static void OnTick(struct ev_loop* loop, ev_timer* w, int revents);
-  void Ask();
-  void GiveUpAsk();
-  void Answered(uint64_t ask, const std::string& body, bool ok);
-  void NextTarget(absl::string_view why);
-  std::vector<std::string> Targets() const;
+  void SendWatch();
+  void CancelWatch();
+  void OnAnswer(uint64_t watch_number, const std::string& body, bool ok);
+  void SwitchTarget(absl::string_view reason);
+  std::vector<std::string> OrderedTargets() const;
   void ChooseTarget(TimePoint now);
 
   struct ev_loop* loop_;
   const Clock& clock_;
   WatchOptions options_;
   std::vector<std::string> seeds_;
-  std::vector<ControlPlace> known_;
+  std::vector<ControlEndpoint> known_endpoints_;
   OnReply on_reply_;
   LinkPool links_;
   WatchRequest state_;
   std::string pinned_;
   std::string target_;
-  uint64_t ask_ = 0;  // Number of the watch under way.
-  bool asking_ = false;
+  uint64_t watch_number_ = 0;  // Number of the last watch sent.
+  bool watch_open_ = false;
   bool paused_ = false;
   int32_t stream_ = 0;
-  TimePoint began_at_{};  // When the answer's first bytes came.
-  TimePoint heard_at_{};  // The last bytes, or when it was asked for.
-  TimePoint not_before_{};
-  TimePoint turned_away_at_{};  // From a target that failed.
-  int misses_ = 0;
+  // When the answer's first bytes arrived; the epoch if none did.
+  TimePoint answer_began_at_{};
+  // When bytes last arrived; before the first ones, when the watch was sent.
+  TimePoint last_bytes_at_{};
+  TimePoint no_watch_before_{};
+  TimePoint target_failed_at_{};  // When a target last failed.
+  // Failed targets since the last answer in sync with a leader.
+  int consecutive_failures_ = 0;
   ev_timer tick_{};
 };
 
--- a/src/watch_reports.cc
+++ b/src/watch_reports.cc
@@ -4,8 +4,8 @@
 
 namespace medlarwalk {
 
-void WatchReports::Fill(const std::string& target, TimePoint now,
-                        WatchRequest* r) {
+void WatchReports::AttachPending(const std::string& target, TimePoint now,
+                                 WatchRequest* r) {
   std::vector<CrashRecord> crashes = crashes_.For(target);
   r->crashes = crashes.empty() ? "" : EncodeCrashRecords(crashes, now);
   std::vector<LimitRecord> limits = limits_.For(target);
@@ -15,13 +15,13 @@
   r->unix_ms = wall_.UnixNow().count();
 }
 
-void WatchReports::Confirmed() {
+void WatchReports::OnDelivered() {
   crashes_.Confirmed();
   limits_.Confirmed();
   usage_.Confirmed();
 }
 
-void WatchReports::Lost() {
+void WatchReports::OnTargetLost() {
   crashes_.Lost();
   limits_.Lost();
   usage_.Lost();
--- a/src/watch_reports.h
+++ b/src/watch_reports.h
@@ -1,5 +1,5 @@
-// What a process tells of itself and of those who follow it with each watch,
-// beside what it asks for.
+// Reports that a process sends with its watch requests: crashes, limits and
+// usage, both its own and those of its followers.
 #ifndef MEDLARWALK_WATCH_REPORTS_H_
 #define MEDLARWALK_WATCH_REPORTS_H_
 
@@ -13,10 +13,11 @@
 
 namespace medlarwalk {
 
-// Thread safety: loop thread only.
+// Tracks which records the followed process has not confirmed yet. Thread
+// safety: loop thread only.
 class WatchReports {
  public:
-  // Precondition: all outlive this.
+  // Precondition: all arguments outlive this object.
   WatchReports(const Quarantine& quarantine, const LimitBook& limits,
                const UsageBook& usage, const WallClock& wall)
       : crashes_(quarantine),
@@ -24,17 +25,20 @@
         usage_(usage, kUsageInterval),
         wall_(wall) {}
 
-  // Sets in `r` what `target` has not confirmed.
-  void Fill(const std::string& target, TimePoint now, WatchRequest* r);
-  // The target has taken what was filled in last.
-  void Confirmed();
-  // The target failed: it may come back with nothing.
-  void Lost();
-  // There is something that the target should know at once.
+  // Adds to `r` the records that `target` has not confirmed, and the wall
+  // clock.
+  void AttachPending(const std::string& target, TimePoint now, WatchRequest* r);
+  // Records that the target received the records attached last.
+  void OnDelivered();
+  // Forgets what was confirmed: a target that failed may have lost its state.
+  void OnTargetLost();
+  // Returns whether crash or limit records wait that must be sent without
+  // delay.
   bool urgent() const { return crashes_.waiting() || limits_.waiting(); }
 
  private:
-  // What of usage may be lost with a process that is killed.
+  // Time between usage reports. A killed process loses at most the usage that
+  // it counted within this time.
   static constexpr auto kUsageInterval = Millis(300);
 
   CrashReports crashes_;
--- a/test/watch_client_test.cc
+++ b/test/watch_client_test.cc
@@ -64,7 +64,7 @@
   struct ev_loop* loop_;
   BootClock clock_;
   int base_;
-  std::vector<ControlPlace> places_;
+  std::vector<ControlEndpoint> places_;
   std::vector<std::unique_ptr<H2Server>> servers_;
 };
 
