--- a/src/control.cc
+++ b/src/control.cc
@@ -23,8 +23,8 @@
 constexpr double kLeaderlessListRate = 0.4;
 // A follower that sent no watch for this long is no longer counted.
 constexpr auto kFollowerTimeout = std::chrono::seconds(3);
-// How long a process without a disk relies on the last leader that an answer
-// named.
+// How long a process without a disk trusts the leader that its last watch
+// answer named.
 constexpr auto kAnnouncedLeaderTtl = std::chrono::seconds(1);
 constexpr auto kHelloInterval = Millis(300);
 // Maximum bytes of configurations in flight to the leader: what fits in half a
--- a/src/control.h
+++ b/src/control.h
@@ -40,8 +40,8 @@
   // does.
   int peer_listen_port = 0;
   std::vector<std::string> seeds;  // Peer addresses of some control processes.
-  bool bootstrap =
-      false;  // Whether the whole system starts for the first time.
+  // Whether the whole system starts for the first time.
+  bool bootstrap = false;
   // Directory for replicated state. Empty on a host without a disk: the process
   // then stores nothing and forwards operators' calls to the leader.
   std::string data_dir;
@@ -90,9 +90,10 @@
 
   // A watch that is not answered yet.
   struct PendingWatch {
-    WatchRequest
-        request;  // The request without its crash, limit, usage records.
-    bool has_reports = false;  // Whether it carried crash or limit records.
+    // The request without its reported records.
+    WatchRequest request;
+    // Whether the request reported crash or limit records.
+    bool has_reports = false;
     std::shared_ptr<H2Stream> stream;
     TimePoint received_at{};
     TimePoint deadline{};
@@ -103,7 +104,7 @@
     std::string data_centre;
     std::string address;  // Address of a control process, otherwise empty.
     bool serves_callers = false;
-    int serving_followers = 0;
+    int serving_followers = 0;  // Serving processes that watch the follower.
   };
   // A call that waits until a leader is known.
   struct WaitingCall {
@@ -128,8 +129,8 @@
   void ForwardToLeader(Document document, SubmitDone done);
   void ReadLocally(ReadDone done);
   void ReadFromLeader(TimePoint deadline, ReadDone done);
-  void RunAtLeader(const char* path, TimePoint deadline,
-                   std::function<void()> run_locally, ReadDone done);
+  void CallLeader(const char* path, TimePoint deadline,
+                  std::function<void()> run_locally, ReadDone done);
   void QueueUntilLeaderKnown(TimePoint deadline, std::function<void()> retry,
                              std::function<void()> give_up);
   void RetryWaitingCalls(TimePoint now);
@@ -183,7 +184,7 @@
   WatchClient leader_watch_;
   ListHistory list_history_;
   TimePoint list_read_at_{};
-  // Interval of the process that reads the list: this one or its leader.
+  // Time between two reads of the upstream list, by this process or its leader.
   Duration list_interval_{};
   TimePoint list_polled_at_{};
   std::vector<PendingWatch> pending_watches_;
@@ -193,11 +194,11 @@
   int leader_serving_index_ = -1;
   // Data centres of the control processes, as published by the leader.
   std::map<std::string, std::string> data_centre_by_address_;
-  // Addresses of the members as last announced to this process. Used only on a
-  // host without a disk.
+  // Addresses of the members as last announced to this process. Used only while
+  // it has no replica.
   std::vector<std::string> announced_members_;
   // Leader named by the last watch answer, and the time of that answer. Used
-  // only on a host without a disk.
+  // only while this process has no replica.
   std::string announced_leader_;
   TimePoint leader_announced_at_{};
   std::vector<WaitingCall> waiting_calls_;
--- a/src/control_calls.cc
+++ b/src/control_calls.cc
@@ -149,14 +149,14 @@
 }
 
 void Control::ReadFromLeader(TimePoint deadline, ReadDone done) {
-  RunAtLeader(
+  CallLeader(
       kReadPath, deadline, [this, done] { ReadLocally(done); }, done);
 }
 
 // Calls `run_locally` if this process is the leader. Otherwise posts to `path`
 // at the leader, once a leader is known, and passes the answer to `done`.
-void Control::RunAtLeader(const char* path, TimePoint deadline,
-                          std::function<void()> run_locally, ReadDone done) {
+void Control::CallLeader(const char* path, TimePoint deadline,
+                         std::function<void()> run_locally, ReadDone done) {
   if (IsLeader()) {
     run_locally();
     return;
@@ -165,7 +165,7 @@
     QueueUntilLeaderKnown(
         deadline,
         [this, path, deadline, run_locally, done] {
-          RunAtLeader(path, deadline, run_locally, done);
+          CallLeader(path, deadline, run_locally, done);
         },
         [done] { done(absl::UnavailableError("no leader")); });
     return;
--- a/src/control_watch.cc
+++ b/src/control_watch.cc
@@ -38,9 +38,9 @@
   int index = IsLeader() ? 0 : leader_serving_index_;
   // A follower can be missing here although its watch is open: it timed out
   // while this process was stalled.
-  auto self = followers_.find(follower);
-  if (index < 0 || self == followers_.end()) return -1;
-  bool serves = self->second.serves_callers;
+  auto record = followers_.find(follower);
+  if (index < 0 || record == followers_.end()) return -1;
+  bool serves = record->second.serves_callers;
   if (!serves) index += DirectServingCount();
   for (const auto& [name, f] : followers_) {
     if (name == follower) break;
@@ -176,10 +176,11 @@
   AnswerWatches();
 }
 
-// Returns whether this process may send its state in answer to `w`. A follower
+// Returns whether this process may send its configuration to `w`. A follower
 // that holds no configuration yet would apply a stale one until it receives a
 // newer one. Such a follower is therefore sent only a version that the leader
-// has confirmed after the watch arrived.
+// has confirmed after the watch arrived, and nothing while crash records may be
+// missing here.
 bool Control::MayPublishTo(const PendingWatch& w) const {
   if (w.request.config_version > 0) return true;
   return quarantine_complete_ && confirm_requested_at_ >= w.received_at &&
@@ -267,7 +268,7 @@
 }
 
 void Control::ConfirmVersionAtLeader(TimePoint deadline, ConfirmDone done) {
-  RunAtLeader(
+  CallLeader(
       kConfirmPath, deadline, [this, done] { ConfirmVersionLocally(done); },
       [done](const absl::StatusOr<std::string>& r) {
         int64_t version;
--- a/src/control_wire.cc
+++ b/src/control_wire.cc
@@ -52,7 +52,7 @@
   return out;
 }
 
-Document OptionalDocument(const json& j, const char* name) {
+Document FindDocument(const json& j, const char* name) {
   auto it = j.find(name);
   if (it == j.end()) return nullptr;
   const auto& b = it->get_binary();
@@ -239,11 +239,11 @@
     r.list_version = WholeNumber<int64_t>(j.at("l"));
     r.endpoints_version = WholeNumber<int64_t>(j.at("k"));
     r.quarantine_version = WholeNumber<int64_t>(j, "q", 0);
-    if (Document d = OptionalDocument(j, "x")) r.crashes = *d;
+    if (Document d = FindDocument(j, "x")) r.crashes = *d;
     r.limits_version = WholeNumber<int64_t>(j, "b", 0);
-    if (Document d = OptionalDocument(j, "y")) r.limits = *d;
+    if (Document d = FindDocument(j, "y")) r.limits = *d;
     r.unix_ms = WholeNumber<int64_t>(j, "t", 0);
-    if (Document d = OptionalDocument(j, "u")) r.usage = *d;
+    if (Document d = FindDocument(j, "u")) r.usage = *d;
     return r;
   });
 }
@@ -283,12 +283,12 @@
     r.serving = WholeNumber<int>(j.at("s"));
     r.control = ControlEndpointsFromJson(j.at("m"));
     r.leader = j.at("h").get<std::string>();
-    r.config = OptionalDocument(j, "d");
-    r.list = OptionalDocument(j, "l");
+    r.config = FindDocument(j, "d");
+    r.list = FindDocument(j, "l");
     r.quarantine_version = WholeNumber<int64_t>(j, "q", 0);
-    r.quarantine = OptionalDocument(j, "x");
+    r.quarantine = FindDocument(j, "x");
     r.limits_version = WholeNumber<int64_t>(j, "b", 0);
-    r.limits = OptionalDocument(j, "y");
+    r.limits = FindDocument(j, "y");
     r.place = WholeNumber<int>(j, "r", -1);
     r.unix_ms = WholeNumber<int64_t>(j, "t", 0);
     r.usage_fixed = WholeNumber<int64_t>(j, "f", 0);
--- a/src/control_wire.h
+++ b/src/control_wire.h
@@ -126,8 +126,8 @@
 // share them.
 Payload EncodeWatchReply(const WatchReply& r);
 absl::StatusOr<WatchReply> DecodeWatchReply(absl::string_view bytes);
-// Encodes and compresses a change. Ids and addresses within a list are similar,
-// so that it compresses well.
+// Encodes and compresses a change. The ids and addresses of a list are similar
+// and compress well.
 Document EncodeListChange(const ListChange& c);
 // Errors: InvalidArgument.
 absl::StatusOr<ListChange> DecodeListChange(absl::string_view bytes);
--- a/src/link_pool.cc
+++ b/src/link_pool.cc
@@ -6,8 +6,8 @@
 namespace medlarwalk {
 namespace {
 
-// Interval of pings on a link, and time without an answer after which the link
-// is closed. A host that lost power or its network sends no reset.
+// Interval of pings on a link, and time without received bytes after which the
+// link is closed. A host that lost power or its network sends no reset.
 constexpr Millis kPingInterval(300);
 constexpr Millis kPingTimeout(900);
 
--- a/src/lister.cc
+++ b/src/lister.cc
@@ -16,11 +16,11 @@
 // Time limit of a read over all its pages. After this time, the contents of the
 // first pages are too old.
 constexpr auto kReadTimeout = std::chrono::seconds(3);
-// Delay before a page is retried that the source rejected for its rate limit.
-// Such a source rejects all calls for the rest of the second. A read that
-// restarted from the first page would use up the calls of the next second with
-// the same pages, and never complete a list of more pages than the source
-// accepts calls per second.
+// Delay before retrying a page that the source rejected for its rate limit. The
+// source rejects all calls for the rest of the second. A read that restarted
+// from the first page would use up the calls of the next second with the same
+// pages. It would never complete a list with more pages than the source accepts
+// calls per second.
 constexpr auto kRetryDelay = Millis(150);
 constexpr int kHttpTooManyRequests = 429;
 // Time between two reads: minimum, maximum, and amount per listed upstream.
--- a/src/lister.h
+++ b/src/lister.h
@@ -95,8 +95,8 @@
   TimePoint read_began_at_{};
   TimePoint page_requested_at_{};  // When the last page was requested.
   std::string deferred_token_;     // Token of a page that the source rejected.
-  TimePoint
-      retry_at_{};  // When to retry that page; the epoch if there is none.
+  // When to retry the rejected page; the epoch if there is none.
+  TimePoint retry_at_{};
   std::minstd_rand random_;
 };
 
--- a/src/watch_client.cc
+++ b/src/watch_client.cc
@@ -75,9 +75,9 @@
 }
 
 // Returns the control processes in order of preference. Those of the own data
-// centre come first: data then crosses between data centres once, not once per
-// follower. The order is otherwise a hash with the own name, which spreads the
-// followers over the control processes.
+// centre come first, so that data crosses between two data centres once and not
+// once per follower. Within that, the order is a hash that includes the own
+// name, which spreads the followers over the control processes.
 std::vector<std::string> WatchClient::OrderedTargets() const {
   if (!pinned_.empty()) return {pinned_};
   std::vector<ControlEndpoint> candidates = known_endpoints_;
@@ -146,7 +146,8 @@
   watch_open_ = true;
   last_bytes_at_ = now;
   answer_began_at_ = {};
-  if (options_.reports) options_.reports->AttachPending(target_, now, &state_);
+  if (options_.reports)
+    options_.reports->AttachPendingRecords(target_, now, &state_);
   uint64_t watch_number = ++watch_number_;
   stream_ = links_.Post(
       target_, kWatchPath, Payload(EncodeWatchRequest(state_)),
--- a/src/watch_reports.cc
+++ b/src/watch_reports.cc
@@ -4,8 +4,8 @@
 
 namespace medlarwalk {
 
-void WatchReports::AttachPending(const std::string& target, TimePoint now,
-                                 WatchRequest* r) {
+void WatchReports::AttachPendingRecords(const std::string& target,
+                                        TimePoint now, WatchRequest* r) {
   std::vector<CrashRecord> crashes = crashes_.For(target);
   r->crashes = crashes.empty() ? "" : EncodeCrashRecords(crashes, now);
   std::vector<LimitRecord> limits = limits_.For(target);
--- a/src/watch_reports.h
+++ b/src/watch_reports.h
@@ -27,13 +27,14 @@
 
   // Adds to `r` the records that `target` has not confirmed, and the wall
   // clock.
-  void AttachPending(const std::string& target, TimePoint now, WatchRequest* r);
+  void AttachPendingRecords(const std::string& target, TimePoint now,
+                            WatchRequest* r);
   // Records that the target received the records attached last.
   void OnDelivered();
   // Forgets what was confirmed: a target that failed may have lost its state.
   void OnTargetLost();
-  // Returns whether crash or limit records wait that must be sent without
-  // delay.
+  // Returns whether there are new crash or limit records. These are reported
+  // without delay.
   bool urgent() const { return crashes_.waiting() || limits_.waiting(); }
 
  private:
--- a/test/control_test.cc
+++ b/test/control_test.cc
@@ -1,5 +1,6 @@
-// Control processes over real sockets on 127.0.0.1, all on one loop: operators'
-// calls at any of them, restarts, lost disks, hosts without a disk.
+// Tests control processes over real sockets on 127.0.0.1, all on one event
+// loop: operators' calls to any of them, restarts, lost disks, hosts without a
+// disk.
 #include "control.h"
 
 #include <unistd.h>
@@ -19,16 +20,17 @@
 
 namespace {
 
-// Control processes that can be stopped and started; a document is a number,
-// its version.
+// Control processes that can be stopped and started. The first `with_disk` of
+// them store state, the others only relay. A configuration is a number, which
+// is also its version.
 class Controls {
  public:
-  Controls(int core, int relays)
+  Controls(int with_disk, int relays)
       : loop_(ev_loop_new(EVFLAG_AUTO)),
         dir_(TempDir()),
         base_(FreeBase()),
-        core_(core),
-        processes_(static_cast<size_t>(core + relays)) {}
+        with_disk_(with_disk),
+        processes_(static_cast<size_t>(with_disk + relays)) {}
   ~Controls() {
     processes_.clear();
     ev_loop_destroy(loop_);
@@ -48,8 +50,8 @@
     o.peer = Endpoint{"127.0.0.1", base_ + i};
     o.seeds = std::move(seeds);
     o.bootstrap = bootstrap;
-    if (i < core_) o.data_dir = DataDir(i);
-    o.list.at = Endpoint{"127.0.0.1", 1};  // Nobody listens there.
+    if (i < with_disk_) o.data_dir = DataDir(i);
+    o.list.at = Endpoint{"127.0.0.1", 1};  // No process listens there.
     o.list.encode = [](absl::string_view) {
       return OutgoingRequest{"GET", "/", {}, ""};
     };
@@ -74,20 +76,20 @@
   }
   std::string DataDir(int i) const { return absl::StrCat(dir_, "/", i); }
 
-  // Submits `document` at `i` again and again, as an operator does, for up to
-  // `ms`; returns the last answer.
+  // Submits `document` to process `i`, retrying for up to `ms` while it is
+  // unavailable, as an operator does. Returns the last result.
   absl::Status Submit(int i, const std::string& document, int ms = 8000) {
-    absl::Status last = absl::UnavailableError("not asked");
+    absl::Status result = absl::UnavailableError("not asked");
     TimePoint until = clock_.Now() + Millis(ms);
     while (clock_.Now() < until) {
       auto answer = std::make_shared<std::optional<absl::Status>>();
       processes_[static_cast<size_t>(i)]->Submit(
           document, [answer](absl::Status s) { *answer = s; });
       Await([&] { return answer->has_value(); }, 1500);
-      last = answer->value_or(absl::UnavailableError("silent"));
-      if (!absl::IsUnavailable(last)) return last;
+      result = answer->value_or(absl::UnavailableError("silent"));
+      if (!absl::IsUnavailable(result)) return result;
     }
-    return last;
+    return result;
   }
   std::string Read(int i) {
     auto answer =
@@ -97,7 +99,7 @@
     Await([&] { return answer->has_value(); }, 3000);
     return answer->has_value() && (*answer)->ok() ? ***answer : "";
   }
-  // A serving process that follows them.
+  // Starts the watch of a serving process that follows these control processes.
   std::unique_ptr<WatchClient> Follow(int n, WatchClient::OnReply on_reply) {
     WatchOptions o;
     o.name = absl::StrCat("entry-", n);
@@ -120,7 +122,7 @@
   SystemWallClock wall_;
   std::string dir_;
   int base_;
-  int core_;
+  int with_disk_;
   std::vector<std::unique_ptr<Control>> processes_;
 };
 
@@ -128,9 +130,10 @@
 
 TEST_GROUP(control){};
 
-// An order is accepted at any process and read back at any; sent again it is
-// acknowledged again; an invalid one is refused; an older one changes nothing.
-TEST(control, OrdersAtAnyProcess) {
+// Every control process accepts a configuration and reads it back. Submitting
+// the same version again succeeds, an invalid configuration is rejected, and an
+// older version changes nothing.
+TEST(control, AnyProcessAcceptsAndReadsConfigurations) {
   Controls c(3, 1);
   for (int i = 0; i < 4; ++i) c.Start(i, c.Addresses(0, 3), true);
   CHECK_TRUE(c.Submit(1, "5").ok());
@@ -143,9 +146,9 @@
   STRCMP_EQUAL("9", c.Read(1).c_str());
 }
 
-// All processes stop at once and come back with the state they had; one lost
-// its disk meanwhile and takes part again.
-TEST(control, RestartOfAllWithOneLostDisk) {
+// All processes stop at the same time and restart with their stored state. One
+// of them has lost its disk, and must join the group again.
+TEST(control, AllRestartAndOneLostItsDisk) {
   Controls c(3, 0);
   for (int i = 0; i < 3; ++i) c.Start(i, c.Addresses(0, 3), true);
   for (int v = 1; v <= 20; ++v)
@@ -155,18 +158,19 @@
   for (int i = 0; i < 3; ++i) c.Start(i, c.Addresses(0, 3), false);
   CHECK_TRUE(c.Submit(0, "21").ok());
   for (int i = 0; i < 3; ++i) STRCMP_EQUAL("21", c.Read(i).c_str());
-  // The other disk may go next: the wiped host counts again.
+  // A second disk may be lost after the wiped host has become a voter again.
   c.Await([] { return false; }, 1500);
   c.Wipe(2);
   CHECK_TRUE(c.Submit(0, "22").ok());
   STRCMP_EQUAL("22", c.Read(1).c_str());
 }
 
-// Symptom: after all processes restart, nothing is ever served again.
-// Sequence: the seeds are exchanged for processes on hosts without a disk;
-// then everything restarts at once. Cause: these know of nobody but each
-// other. The core, which keeps its members on disk, must tell them.
-TEST(control, SeedsWithoutADiskAreToldOfTheCore) {
+// Guards against a system that never serves again after all processes restart.
+// The seeds are replaced by processes on hosts without a disk; then all
+// processes restart at the same time. The new seeds know only each other. The
+// processes with a disk have stored the members, and must announce them to the
+// seeds.
+TEST(control, SeedsWithoutADiskLearnTheMembers) {
   Controls c(3, 3);
   for (int i = 0; i < 6; ++i) c.Start(i, c.Addresses(0, 3), true);
   CHECK_TRUE(c.Submit(0, "1").ok());
@@ -174,68 +178,70 @@
   for (int i = 0; i < 6; ++i) c.Start(i, c.Addresses(3, 6), false);
   CHECK_TRUE(c.Submit(4, "2").ok());
   STRCMP_EQUAL("2", c.Read(5).c_str());
-  // An empty host of the core finds its way in through them as well.
+  // A host with a wiped disk also joins the group through these seeds.
   c.Wipe(0);
   c.Start(0, c.Addresses(3, 6), false);
   CHECK_TRUE(c.Submit(0, "3").ok());
 }
 
-// Symptom: an acknowledged change is gone. Sequence: two operators send
-// different versions to two processes at once, the leader dies in between.
-// Whatever was acknowledged is there afterwards, or something newer.
-TEST(control, RacingOrdersAndALostLeader) {
+// Guards against the loss of an acknowledged configuration. Two processes
+// receive different versions while a third process, which may be the leader, is
+// down. Afterwards, the acknowledged version or a newer one must be readable.
+TEST(control, AcknowledgedConfigurationSurvivesALostLeader) {
   Controls c(3, 0);
   for (int i = 0; i < 3; ++i) c.Start(i, c.Addresses(0, 3), true);
   CHECK_TRUE(c.Submit(0, "1").ok());
-  int64_t acked = 1;
+  int64_t acknowledged = 1;
   for (int round = 0; round < 3; ++round) {
     int dead = round % 3;
     c.Kill(dead);
     int64_t v = 10 * (round + 1);
     CHECK_TRUE(c.Submit((dead + 1) % 3, absl::StrCat(v)).ok());
     CHECK_TRUE(c.Submit((dead + 2) % 3, absl::StrCat(v + 1)).ok());
-    acked = v + 1;
+    acknowledged = v + 1;
     c.Start(dead, c.Addresses(0, 3), false);
-    CHECK_TRUE(c.Submit(dead, absl::StrCat(acked)).ok());
-    STRCMP_EQUAL(absl::StrCat(acked).c_str(), c.Read(dead).c_str());
+    CHECK_TRUE(c.Submit(dead, absl::StrCat(acknowledged)).ok());
+    STRCMP_EQUAL(absl::StrCat(acknowledged).c_str(), c.Read(dead).c_str());
   }
 }
 
-// Guards against two entries that take each other's turn at an upstream, and a
-// turn that nobody takes: wherever they ask, each has a place of its own.
-TEST(control, EachServingProcessHasAPlaceOfItsOwn) {
+// Guards against two entries that use the same send slot of an upstream, and
+// against slots that no entry uses. Each serving process must have a unique
+// index, whichever control process it follows.
+TEST(control, EachServingProcessHasAUniqueIndex) {
   constexpr int kServing = 9;
   Controls c(3, 2);
   for (int i = 0; i < 5; ++i) c.Start(i, c.Addresses(0, 3), true);
-  std::map<int, WatchReply> told;
+  std::map<int, WatchReply> replies;
   std::vector<std::unique_ptr<WatchClient>> serving;
   for (int n = 0; n < kServing; ++n) {
-    serving.push_back(c.Follow(n, [&told, n](const WatchReply& r, bool ok) {
-      if (ok) told[n] = r;
+    serving.push_back(c.Follow(n, [&replies, n](const WatchReply& r, bool ok) {
+      if (ok) replies[n] = r;
     }));
   }
   CHECK_TRUE(c.Await(
       [&] {
-        std::set<int> places;
-        for (const auto& [n, r] : told) {
-          if (r.serving == kServing) places.insert(r.place);
+        std::set<int> indexes;
+        for (const auto& [n, r] : replies) {
+          if (r.serving == kServing) indexes.insert(r.place);
         }
-        return places.size() == kServing && *places.begin() == 0 &&
-               *places.rbegin() == kServing - 1;
+        return indexes.size() == kServing && *indexes.begin() == 0 &&
+               *indexes.rbegin() == kServing - 1;
       },
       10000));
 }
 
-// Guards against a control process that ends when it wakes: it stood still
-// until its followers counted as gone, and their watches were still open.
-TEST(control, WatchesAreAnsweredAfterALongStandstill) {
+// Guards against a control process that crashes after a long stall. It removed
+// its followers as timed out while their watches were still open.
+TEST(control, WatchesAreAnsweredAfterALongStall) {
   Controls c(1, 0);
   c.Start(0, c.Addresses(0, 1), true);
-  int told = 0;
-  auto w = c.Follow(0, [&told](const WatchReply&, bool ok) { told += ok; });
-  CHECK_TRUE(c.Await([&] { return told > 0; }, 5000));
+  int answers = 0;
+  auto w =
+      c.Follow(0, [&answers](const WatchReply&, bool ok) { answers += ok; });
+  CHECK_TRUE(c.Await([&] { return answers > 0; }, 5000));
   c.Await([] { return false; }, 50);
   usleep(3'300'000);
-  int before = told;
-  CHECK_TRUE(c.Await([&] { return told > before; }, 5000));
+  int answers_before = answers;
+  CHECK_TRUE(c.Await([&] { return answers > answers_before; }, 5000));
 }
--- a/test/large_config_test.cc
+++ b/test/large_config_test.cc
@@ -1,5 +1,5 @@
-// A configuration of hundreds of kilobytes: what it costs the processes that
-// keep it, send it and wait for it.
+// Tests configurations of hundreds of kilobytes: their cost in memory, traffic
+// and time for the processes that store, send and receive them.
 #include <arpa/inet.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -24,10 +24,11 @@
 namespace {
 
 constexpr size_t kDocumentBytes = 600'000;
-constexpr auto kElection = std::chrono::seconds(5);
+constexpr auto kElectionTimeout = std::chrono::seconds(5);
 
-// Random: compressed, it is no smaller.
-std::string Text(int64_t version, size_t bytes = kDocumentBytes) {
+// Returns a document of random bytes, which does not get smaller by
+// compression.
+std::string RandomText(int64_t version, size_t bytes = kDocumentBytes) {
   std::mt19937 random(static_cast<uint32_t>(version));
   std::string out = absl::StrCat(version, " ");
   for (size_t i = 0; i < bytes; ++i) out += static_cast<char>(random());
@@ -35,7 +36,7 @@
 }
 
 Document MakeDocument(int64_t version) {
-  return std::make_shared<const std::string>(Text(version));
+  return std::make_shared<const std::string>(RandomText(version));
 }
 
 absl::StatusOr<int64_t> VersionOf(absl::string_view document) {
@@ -46,36 +47,37 @@
   return v;
 }
 
-// A group whose leader has an acknowledged first configuration.
-std::unique_ptr<Group> GroupInOffice(int members) {
+// Returns a group that has elected a leader and run for another 500 ms.
+std::unique_ptr<Group> GroupWithLeader(int members) {
   auto g = std::make_unique<Group>(members, 1);
-  CHECK_TRUE(g->AwaitLeader(kElection) >= 0);
+  CHECK_TRUE(g->AwaitLeader(kElectionTimeout) >= 0);
   g->Run(Millis(500));
   return g;
 }
 
-// One control process, a group by itself, and what asks it.
-class LoneControl {
+// One control process that forms a group by itself, with connections of
+// followers to it.
+class SingleControl {
  public:
-  LoneControl() : loop_(ev_loop_new(EVFLAG_AUTO)) {
+  SingleControl() : loop_(ev_loop_new(EVFLAG_AUTO)) {
     ControlOptions o;
     o.name = "control";
     o.peer = Endpoint{"127.0.0.1", FreeBase()};
     o.seeds = {o.peer.ToString()};
     o.bootstrap = true;
     o.data_dir = TempDir();
-    o.list.at = Endpoint{"127.0.0.1", 1};  // Nobody listens there.
+    o.list.at = Endpoint{"127.0.0.1", 1};  // No process listens there.
     o.list.encode = [](absl::string_view) {
       return OutgoingRequest{"GET", "/", {}, ""};
     };
     o.list.decode = [](absl::string_view) { return ListPage{}; };
     o.validate = VersionOf;
-    at_ = o.peer;
+    endpoint_ = o.peer;
     control_ = std::make_unique<Control>(loop_, clock_, wall_, std::move(o));
     CHECK_TRUE(control_->Start().ok());
   }
-  ~LoneControl() {
-    for (int fd : askers_) close(fd);
+  ~SingleControl() {
+    for (int fd : follower_fds_) close(fd);
     control_.reset();
     ev_loop_destroy(loop_);
   }
@@ -88,18 +90,18 @@
     for (int i = 0; i < 500 && !done; ++i) Run(Millis(10));
     CHECK_TRUE(done);
   }
-  // Asks for what is newer than `version` on a connection of its own, and
-  // never reads the answer.
-  void AskAndNeverRead(int64_t version) {
+  // Sends a watch for a version above `version` on a new connection, and never
+  // reads the answer.
+  void WatchWithoutReading(int64_t version) {
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     int small = 4096;
     setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &small, sizeof(small));
     sockaddr_in a{};
     a.sin_family = AF_INET;
-    a.sin_port = htons(static_cast<uint16_t>(at_.port));
-    inet_pton(AF_INET, at_.ip.c_str(), &a.sin_addr);
+    a.sin_port = htons(static_cast<uint16_t>(endpoint_.port));
+    inet_pton(AF_INET, endpoint_.ip.c_str(), &a.sin_addr);
     CHECK_EQUAL(0, connect(fd, reinterpret_cast<sockaddr*>(&a), sizeof(a)));
-    askers_.push_back(fd);
+    follower_fds_.push_back(fd);
     WatchRequest r;
     r.name = absl::StrCat("asker-", fd);
     r.config_version = version;
@@ -113,14 +115,14 @@
   }
 
  private:
-  // What a client of HTTP/2 writes to post `body`.
+  // Returns the bytes that an HTTP/2 client writes to post `body`.
   static std::string RequestBytes(std::string path, std::string body) {
     nghttp2_session_callbacks* cbs;
     nghttp2_session_callbacks_new(&cbs);
     nghttp2_session* s;
     nghttp2_session_client_new(&s, cbs, nullptr);
     nghttp2_session_callbacks_del(cbs);
-    // The whole answer may be sent: only the socket holds it up.
+    // Opens the HTTP/2 windows for the whole answer: only the socket blocks it.
     nghttp2_settings_entry window{NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE,
                                   64 << 20};
     nghttp2_submit_settings(s, NGHTTP2_FLAG_NONE, &window, 1);
@@ -158,26 +160,27 @@
   struct ev_loop* loop_;
   BootClock clock_;
   SystemWallClock wall_;
-  Endpoint at_;
+  Endpoint endpoint_;
   std::unique_ptr<Control> control_;
-  std::vector<int> askers_;
+  std::vector<int> follower_fds_;
 };
 
 }  // namespace
 
 TEST_GROUP(large_config){};
 
-// An operator added 3,000 routes; from then on every leader ended for its
-// memory within two seconds of its election, one after the other, and none of
-// its followers did. The entries of the log are large and take long to arrive;
-// heartbeats overtake them, and the reply to a heartbeat was taken for the
-// reply to the entries, so the leader sent them all again at each round trip:
+// Guards against a leader that runs out of memory within two seconds of its
+// election, after an operator added 3,000 routes. Each following leader failed
+// the same way, and no follower did. Large log entries arrive slowly, and
+// heartbeats overtake them. The leader took the reply to a heartbeat for the
+// reply to the entries, and sent all entries again at each round trip. Two
+// lines of its log, 0.9 s apart:
 //   event=memory heap=28404128 log=597937 entries=7 peers=9630796
 //   event=memory heap=85867376 log=597937 entries=7 peers=27217662
-// 0.9 s later. The time-out for sending again never struck, as each heartbeat
-// moved the time it counts from.
-TEST(large_config, EntriesUnderWayAreNotSentAgain) {
-  auto g = GroupInOffice(3);
+// The retransmission timeout never expired, because each heartbeat restarted
+// it.
+TEST(large_config, EntriesInFlightAreNotSentAgain) {
+  auto g = GroupWithLeader(3);
   g->bytes_per_s = 1e6;  // 0.6 s for the document.
   g->bytes_sent = 0;
   std::optional<bool> done;
@@ -186,14 +189,15 @@
   });
   g->Run(std::chrono::seconds(3));
   CHECK_TRUE(done.value_or(false));
-  // Once to each of the two others, once more where a reply took too long.
+  // One copy for each of the two followers, and one more for a late reply.
   CHECK_TRUE(g->bytes_sent < 5 * kDocumentBytes);
 }
 
-// The entries are lost on the way, but not the heartbeats after them. They must
-// be sent again even so: nothing else tells the leader of the loss.
+// Guards against log entries that are lost forever. The network drops the
+// entries, but delivers the heartbeats after them. The leader must send the
+// entries again, because it gets no other sign of the loss.
 TEST(large_config, LostEntriesAreSentAgain) {
-  auto g = GroupInOffice(3);
+  auto g = GroupWithLeader(3);
   int l = g->Leader();
   for (int i = 0; i < 3; ++i) g->Cut(l, i, true);
   std::optional<bool> done;
@@ -204,11 +208,11 @@
   CHECK_TRUE(done.value_or(false));
 }
 
-// A process started anew read thirty documents back, one for each change, and
-// held them all: the log was folded into a snapshot by the number of its
-// entries only ("store_opened snapshot=0 entries=30").
-TEST(large_config, TheLogIsFoldedByItsBytes) {
-  auto g = GroupInOffice(3);
+// Guards against a restarted process that loads every past configuration into
+// memory. The log was compacted into a snapshot only by its number of entries,
+// so that thirty documents remained ("store_opened snapshot=0 entries=30").
+TEST(large_config, LogIsCompactedByItsSizeInBytes) {
+  auto g = GroupWithLeader(3);
   for (int64_t v = 2; v < 20; ++v) {
     g->node(g->Leader())->Propose(v, MakeDocument(v), [](absl::Status) {});
     g->Run(Millis(400));
@@ -222,70 +226,72 @@
   }
 }
 
-// Changes come faster than the links take them. All that was proposed and not
-// committed stayed in the leader's log and was sent, though each document
-// replaces the ones before. Now the newest waits for the ones under way, and
-// the operators of those it overtakes are answered when it is committed.
-TEST(large_config, ChangesFasterThanTheLinksDoNotPileUp) {
-  auto g = GroupInOffice(3);
+// Guards against a leader's log that grows without bound when configurations
+// arrive faster than the links transmit them. The leader kept and sent every
+// proposed document, although each replaces the ones before it. Only the newest
+// document may wait for those in flight. Operators of a replaced document are
+// answered when the newer one is committed.
+TEST(large_config, ProposalsFasterThanTheLinksDoNotAccumulate) {
+  auto g = GroupWithLeader(3);
   g->bytes_per_s = 2e6;  // 0.3 s for a document.
   int l = g->Leader();
   int acknowledged = 0;
-  size_t most = 0;
+  size_t max_log_bytes = 0;
   constexpr int kChanges = 100;
   for (int64_t v = 2; v < 2 + kChanges; ++v) {
     g->node(l)->Propose(v, MakeDocument(v),
                         [&](absl::Status s) { acknowledged += s.ok(); });
     g->Run(Millis(50));
-    most = std::max(most, g->node(l)->log_bytes());
+    max_log_bytes = std::max(max_log_bytes, g->node(l)->log_bytes());
   }
   g->Run(std::chrono::seconds(3));
   CHECK_EQUAL(kChanges, acknowledged);
   CHECK_EQUAL(1 + kChanges, g->node(l)->config_version());
-  CHECK_TRUE(most < 8 * kDocumentBytes);
+  CHECK_TRUE(max_log_bytes < 8 * kDocumentBytes);
 }
 
-// Thirty askers behind slow links wait for a new configuration. Each had an
-// encoded copy of its own, and more while it was made; one for all is enough.
-TEST(large_config, AskersThatDoNotReadShareOneDocument) {
-  LoneControl c;
-  c.Submit(Text(1, 100));
-  constexpr int kAskers = 30;
-  for (int i = 0; i < kAskers; ++i) c.AskAndNeverRead(1);
+// Guards against one encoded copy of a configuration per follower. Thirty
+// followers behind slow links wait for the same new configuration, and must
+// share one copy of it.
+TEST(large_config, FollowersThatDoNotReadShareOneDocument) {
+  SingleControl c;
+  c.Submit(RandomText(1, 100));
+  constexpr int kFollowers = 30;
+  for (int i = 0; i < kFollowers; ++i) c.WatchWithoutReading(1);
   c.Run(Millis(100));
-  size_t before = ReadHeapUse().in_use;
-  c.Submit(Text(2, 4'000'000));
+  size_t heap_before = ReadHeapUse().in_use;
+  c.Submit(RandomText(2, 4'000'000));
   c.Run(Millis(300));
-  size_t rise = ReadHeapUse().in_use - before;
-  CHECK_TRUE(rise > 4'000'000);
-  CHECK_TRUE(rise < 5 * 4'000'000);
+  size_t growth = ReadHeapUse().in_use - heap_before;
+  CHECK_TRUE(growth > 4'000'000);
+  CHECK_TRUE(growth < 5 * 4'000'000);
 }
 
-// An entry behind 10 Mbit/s needs 0.9 s and more for 1.2 MB. Its watch was
-// given up after 0.9 s however much had come, and asked for anew elsewhere,
-// where the same happened: such an entry never got the configuration. What
-// counts is the time since the last bytes came.
-TEST(large_config, ADocumentThatComesSlowlyIsAwaited) {
+// Guards against an entry on a slow link that never receives the configuration.
+// At 10 Mbit/s, 1.2 MB take 0.9 s or longer. The entry canceled its watch after
+// 0.9 s in total and tried the next control process, with the same result. The
+// timeout must count from the last received bytes.
+TEST(large_config, WatchWaitsForASlowDocument) {
   struct ev_loop* loop = ev_loop_new(EVFLAG_AUTO);
   BootClock clock;
   int base = FreeBase();
-  int asked = 0;
+  int watches_received = 0;
   std::shared_ptr<H2Stream> answer;
   H2Server server(loop, [&](const H2Request&, std::shared_ptr<H2Stream> s) {
-    ++asked;
+    ++watches_received;
     answer = std::move(s);
   });
   CHECK_TRUE(server.Listen("127.0.0.1", base).ok());
-  std::string got;
+  std::string received;
   WatchOptions o;
   o.name = "entry";
   o.serves_callers = true;
   WatchClient watch(loop, clock, o, {absl::StrCat("127.0.0.1:", base)},
                     [&](const WatchReply& r, bool) {
-                      if (r.config) got = *r.config;
+                      if (r.config) received = *r.config;
                     });
   watch.Start();
-  std::string document = Text(7, 200'000);
+  std::string document = RandomText(7, 200'000);
   std::string bytes;
   {
     auto encoded = nlohmann::json{
@@ -298,38 +304,39 @@
   }
   TimePoint until = clock.Now() + std::chrono::seconds(4);
   TimePoint next{};
-  size_t at = 0;
+  size_t sent = 0;
   bool started = false;
-  while (got.empty() && clock.Now() < until) {
+  while (received.empty() && clock.Now() < until) {
     ev_run(loop, EVRUN_ONCE);
-    if (!answer || clock.Now() < next || at >= bytes.size()) continue;
+    if (!answer || clock.Now() < next || sent >= bytes.size()) continue;
     if (!started) answer->StartStream(200, {});
     started = true;
-    answer->Write(absl::string_view(bytes).substr(at, 16'000));
-    at += 16'000;
-    next = clock.Now() + Millis(150);  // 1.9 s for the whole.
-    if (at >= bytes.size()) {
+    answer->Write(absl::string_view(bytes).substr(sent, 16'000));
+    sent += 16'000;
+    next = clock.Now() + Millis(150);  // 1.9 s for the whole document.
+    if (sent >= bytes.size()) {
       answer->Finish();
       answer.reset();
     }
   }
-  CHECK_EQUAL(document.size(), got.size());
-  CHECK_EQUAL(1, asked);
+  CHECK_EQUAL(document.size(), received.size());
+  CHECK_EQUAL(1, watches_received);
   answer.reset();
 }
 
-// A document fills the link from a peer for seconds; the answer to our ping
-// stands behind it, in the peer's socket. The link was given up as silent after
-// 0.9 s, with most of the document read, and all began anew on the next one. A
-// peer of which bytes still come is there, whatever became of the ping.
-TEST(large_config, APeerThatStillSendsIsNotSilent) {
+// Guards against a link that is closed while its peer still sends. A document
+// fills the link for seconds, and the answer to a ping waits behind it in the
+// peer's socket. The link was closed as silent after 0.9 s with most of the
+// document received, and the transfer started over on the next link. A peer
+// that sends any bytes is alive.
+TEST(large_config, PeerThatStillSendsIsNotSilent) {
   struct ev_loop* loop = ev_loop_new(EVFLAG_AUTO);
   BootClock clock;
   int base = FreeBase();
   std::shared_ptr<TcpConnection> peer;
   TcpListener listener(loop, [&](std::shared_ptr<TcpConnection> c) {
     peer = std::move(c);
-    // An empty SETTINGS frame, as the protocol has a server begin.
+    // An empty SETTINGS frame, which HTTP/2 requires as a server's first frame.
     peer->Write(absl::string_view("\0\0\0\4\0\0\0\0\0", 9));
   });
   CHECK_TRUE(listener.Listen(Endpoint{"127.0.0.1", base}).ok());
@@ -344,7 +351,7 @@
       ev_run(loop, EVRUN_ONCE);
       if (!sending || !peer || clock.Now() < next) continue;
       next = clock.Now() + Millis(50);
-      // Room for one byte more: says nothing, but comes.
+      // A WINDOW_UPDATE frame for one byte: traffic without an effect.
       peer->Write(absl::string_view("\0\0\4\x8\0\0\0\0\0\0\0\0\1", 13));
     }
   };
--- a/test/later.h
+++ b/test/later.h
@@ -1,4 +1,4 @@
-// A function called once later on a loop. Scaffolding for tests.
+// Delayed calls on an event loop, for tests.
 #ifndef MEDLARWALK_TEST_LATER_H_
 #define MEDLARWALK_TEST_LATER_H_
 
@@ -10,22 +10,22 @@
 
 namespace medlarwalk::testing {
 
-// Runs `f` once after `ms` on `loop`.
+// Calls `f` once on `loop`, after `ms` milliseconds.
 inline void Later(struct ev_loop* loop, int ms, std::function<void()> f) {
-  struct Once {
+  struct DelayedCall {
     ev_timer timer;
     std::function<void()> f;
   };
-  auto* once = new Once{{}, std::move(f)};
+  auto* call = new DelayedCall{{}, std::move(f)};
   ev_timer_init(
-      &once->timer,
+      &call->timer,
       [](struct ev_loop*, ev_timer* w, int) {
-        std::unique_ptr<Once> o(static_cast<Once*>(w->data));
-        o->f();
+        std::unique_ptr<DelayedCall> fired(static_cast<DelayedCall*>(w->data));
+        fired->f();
       },
       ms / 1000.0, 0.);
-  once->timer.data = once;
-  ev_timer_start(loop, &once->timer);
+  call->timer.data = call;
+  ev_timer_start(loop, &call->timer);
 }
 
 }  // namespace medlarwalk::testing
--- a/test/lister_test.cc
+++ b/test/lister_test.cc
@@ -1,4 +1,4 @@
-// Reading the list of upstreams from a source that limits its callers.
+// Tests reading the list of upstreams from a source with a rate limit.
 #include "lister.h"
 
 #include <ev.h>
@@ -15,29 +15,29 @@
 
 namespace {
 
-// A list of `pages`, one upstream each; takes `calls_per_s`, then refuses for
-// the rest of the second.
-class Source {
+// Serves a list of `pages` pages with one upstream each. Accepts `calls_per_s`
+// calls, then rejects calls for the rest of the second.
+class FakeSource {
  public:
-  Source(int pages, int calls_per_s)
+  FakeSource(int pages, int calls_per_s)
       : loop_(ev_loop_new(EVFLAG_AUTO)), pages_(pages) {
     auto answer = [this, calls_per_s](auto ex) {
-      if (clock_.Now() - second_ >= std::chrono::seconds(1)) {
-        second_ = clock_.Now();
+      if (clock_.Now() - second_began_at_ >= std::chrono::seconds(1)) {
+        second_began_at_ = clock_.Now();
         calls_ = 0;
       }
-      bool taken = ++calls_ <= calls_per_s;
-      ex->Respond(taken ? 200 : 429, {}, ex->head.target.substr(1));
+      bool accepted = ++calls_ <= calls_per_s;
+      ex->Respond(accepted ? 200 : 429, {}, ex->head.target.substr(1));
     };
     server_ = std::make_unique<CallerServer>(loop_, clock_, answer);
     CHECK_TRUE(server_->Listen(Endpoint{"127.0.0.1", 0}).ok());
   }
-  ~Source() {
+  ~FakeSource() {
     server_.reset();
     ev_loop_destroy(loop_);
   }
 
-  ListSource AsSource() {
+  ListSource MakeListSource() {
     ListSource s;
     s.at = Endpoint{"127.0.0.1", server_->port()};
     s.encode = [](absl::string_view token) {
@@ -56,16 +56,16 @@
     return s;
   }
 
-  // One reading, as a process that calls Tick in time does it.
+  // Reads the list once, calling Tick regularly as a process does.
   absl::StatusOr<std::vector<UpstreamInfo>> Read(Lister& lister) {
-    std::optional<absl::StatusOr<std::vector<UpstreamInfo>>> got;
-    lister.Read([&](auto r) { got = std::move(r); });
+    std::optional<absl::StatusOr<std::vector<UpstreamInfo>>> result;
+    lister.Read([&](auto r) { result = std::move(r); });
     TimePoint until = clock_.Now() + std::chrono::seconds(6);
-    while (!got && clock_.Now() < until) {
+    while (!result && clock_.Now() < until) {
       ev_run(loop_, EVRUN_NOWAIT);
       lister.Tick();
     }
-    return got ? *std::move(got) : absl::UnavailableError("never ended");
+    return result ? *std::move(result) : absl::UnavailableError("never ended");
   }
 
   struct ev_loop* loop() {
@@ -77,7 +77,7 @@
   struct ev_loop* loop_;
   BootClock clock_;
   int pages_;
-  TimePoint second_{};
+  TimePoint second_began_at_{};
   int calls_ = 0;
   std::unique_ptr<CallerServer> server_;
 };
@@ -86,13 +86,13 @@
 
 TEST_GROUP(lister){};
 
-// Symptom: with thousands of upstreams no list is ever known. Sequence: a
-// list of 60 pages, a source that takes 40 calls a second; the reading is
-// refused at page 41 and begins anew, each second with the same first pages.
-// Cause: a page put off was taken for a failed reading.
-TEST(lister, AListOfMorePagesThanCallsASecondIsRead) {
-  Source source(60, 40);
-  Lister lister(source.loop(), source.clock(), source.AsSource());
+// Guards against a list of thousands of upstreams that is never read
+// completely. The list has 60 pages, and the source accepts 40 calls per
+// second. A lister that treats the rejection of page 41 as a failed read starts
+// over each second with the same first pages.
+TEST(lister, ReadsMorePagesThanCallsPerSecond) {
+  FakeSource source(60, 40);
+  Lister lister(source.loop(), source.clock(), source.MakeListSource());
   absl::StatusOr<std::vector<UpstreamInfo>> r = source.Read(lister);
   CHECK_TRUE(r.ok());
   CHECK_EQUAL(60, r->size());
@@ -101,18 +101,19 @@
   CHECK_EQUAL(60, lister.length().upstreams);
 }
 
-// A source that takes no call ends the reading in time; the next may begin.
-TEST(lister, AReadingThatIsNeverTakenEnds) {
-  Source source(3, 0);
-  Lister lister(source.loop(), source.clock(), source.AsSource());
+// Guards against a read that never ends because the source rejects every call.
+// The read must fail, so that the next one can begin.
+TEST(lister, ReadFailsIfEveryCallIsRejected) {
+  FakeSource source(3, 0);
+  Lister lister(source.loop(), source.clock(), source.MakeListSource());
   CHECK_FALSE(source.Read(lister).ok());
   CHECK_FALSE(lister.busy());
 }
 
-// A short list is read within the time in which a leaving upstream must be
-// known; a long one costs its reader's link no more than a short one; the
-// source's limit goes before both.
-TEST(lister, HowOftenAListIsRead) {
+// A short list is read within the time in which a draining upstream must be
+// known. A long list loads the reader's network link no more than a short one.
+// The source's rate limit takes precedence over both.
+TEST(lister, IntervalDependsOnListSizeAndRateLimit) {
   for (size_t n = 0; n <= 1200; n += 100) {
     CHECK_TRUE(ListInterval({n, 4}, 0) == Millis(600));
   }
--- a/test/watch_client_test.cc
+++ b/test/watch_client_test.cc
@@ -1,4 +1,4 @@
-// Which control process a process follows.
+// Tests which control process a watch client follows.
 #include "watch_client.h"
 
 #include <ev.h>
@@ -15,19 +15,20 @@
 
 namespace {
 
-// Control processes that answer each watch at once, all in step and each
-// knowing all, one to a data centre: "dc-0", "dc-1" and so on.
-class Fakes {
+// Fake control processes, one per data centre: "dc-0", "dc-1" and so on. They
+// answer each watch at once, are in sync with a leader, and know each other.
+class FakeControls {
  public:
-  explicit Fakes(int n) : loop_(ev_loop_new(EVFLAG_AUTO)), base_(FreeBase()) {
+  explicit FakeControls(int n)
+      : loop_(ev_loop_new(EVFLAG_AUTO)), base_(FreeBase()) {
     for (int i = 0; i < n; ++i) {
-      places_.push_back({Address(i), absl::StrCat("dc-", i)});
+      endpoints_.push_back({Address(i), absl::StrCat("dc-", i)});
     }
-    asked.resize(n);
+    watches_received.resize(n);
     servers_.resize(n);
     for (int i = 0; i < n; ++i) Start(i);
   }
-  ~Fakes() {
+  ~FakeControls() {
     servers_.clear();
     ev_loop_destroy(loop_);
   }
@@ -37,10 +38,10 @@
   void Start(int i) {
     servers_[i] = std::make_unique<H2Server>(
         loop_, [this, i](const H2Request&, std::shared_ptr<H2Stream> s) {
-          ++asked[i];
+          ++watches_received[i];
           WatchReply r;
           r.age_ms = 0;
-          r.control = places_;
+          r.control = endpoints_;
           s->Respond(200, {}, EncodeWatchReply(r));
         });
     CHECK_TRUE(servers_[i]->Listen("127.0.0.1", base_ + i).ok());
@@ -58,13 +59,13 @@
     return loop_;
   }
   const Clock& clock() { return clock_; }
-  std::vector<int> asked;  // Watches each has been sent.
+  std::vector<int> watches_received;  // By control process.
 
  private:
   struct ev_loop* loop_;
   BootClock clock_;
   int base_;
-  std::vector<ControlEndpoint> places_;
+  std::vector<ControlEndpoint> endpoints_;
   std::vector<std::unique_ptr<H2Server>> servers_;
 };
 
@@ -72,26 +73,31 @@
 
 TEST_GROUP(watch_client){};
 
-// Symptom: each change of the list crosses between data centres once for every
-// entry. Cause: entries followed control processes anywhere, by lot. The one of
-// the own data centre is followed, found through any other; while it is away
-// another is, and it is followed again when it is back.
-TEST(watch_client, FollowsTheOneOfItsDataCentre) {
-  Fakes f(3);
+// Guards against list changes that cross between data centres once per entry,
+// because entries follow control processes in random data centres. A client
+// must follow the control process of its own data centre, even if its seed is
+// another one. While that process is down, the client follows another; when it
+// is back, the client returns to it.
+TEST(watch_client, FollowsTheControlProcessOfItsDataCentre) {
+  FakeControls controls(3);
   WatchOptions o;
   o.name = "entry";
   o.data_centre = "dc-2";
-  WatchClient watch(f.loop(), f.clock(), o, {f.Address(0)},
+  WatchClient watch(controls.loop(), controls.clock(), o, {controls.Address(0)},
                     [](const WatchReply&, bool) {});
   watch.Start();
-  CHECK_TRUE(f.Await([&] { return f.asked[2] > 20; }));
-  CHECK_TRUE(f.asked[0] <= 2);
+  CHECK_TRUE(controls.Await([&] { return controls.watches_received[2] > 20; }));
+  CHECK_TRUE(controls.watches_received[0] <= 2);
 
-  f.Stop(2);
-  int before = f.asked[0] + f.asked[1];
-  CHECK_TRUE(f.Await([&] { return f.asked[0] + f.asked[1] > before + 20; }));
+  controls.Stop(2);
+  int before = controls.watches_received[0] + controls.watches_received[1];
+  CHECK_TRUE(controls.Await([&] {
+    return controls.watches_received[0] + controls.watches_received[1] >
+           before + 20;
+  }));
 
-  f.Start(2);
-  before = f.asked[2];
-  CHECK_TRUE(f.Await([&] { return f.asked[2] > before + 20; }));
+  controls.Start(2);
+  before = controls.watches_received[2];
+  CHECK_TRUE(controls.Await(
+      [&] { return controls.watches_received[2] > before + 20; }));
 }
