--- a/src/agent.cc
+++ b/src/agent.cc
@@ -17,17 +17,17 @@
 
 using nlohmann::json;
 
-// A planned stop waits this long at most for requests in progress.
-constexpr auto kMaxDrain = std::chrono::seconds(60);
-constexpr double kDrainTickSeconds = 0.05;
-// When a caller whose request this agent turned away does well to come back.
+// Maximum time that a planned stop waits for requests in flight.
+constexpr auto kMaxDrainTime = std::chrono::seconds(60);
+constexpr double kDrainCheckSeconds = 0.05;
+// Retry-After value sent with requests that this agent rejects.
 constexpr int kRetryAfterSeconds = 1;
-// An engine beside this agent answers at once, or does not listen.
-constexpr auto kCheckTimeout = Millis(250);
-constexpr int kMostChecks = 5;
+// An engine next to this agent either answers at once or does not listen.
+constexpr auto kLivenessCheckTimeout = Millis(250);
+constexpr int kMaxLivenessChecks = 5;
 constexpr char kEventStreamType[] = "text/event-stream";
-constexpr char kDoneMarker[] = "data: [DONE]";
-constexpr size_t kDoneTail = sizeof(kDoneMarker);
+constexpr char kEndMarker[] = "data: [DONE]";
+constexpr size_t kTailBytes = sizeof(kEndMarker);
 
 HeaderList ErrorHeaders(ErrorKind kind, bool started) {
   HeaderList h = {{"content-type", "application/json"},
@@ -44,8 +44,8 @@
       .dump();
 }
 
-void Refuse(H2Stream& out, ErrorKind kind, absl::string_view message,
-            bool started = false) {
+void RespondWithError(H2Stream& out, ErrorKind kind, absl::string_view message,
+                      bool started = false) {
   out.Respond(AnswerFor(kind).http_status, ErrorHeaders(kind, started),
               ErrorBody(kind, message));
 }
@@ -53,17 +53,17 @@
 }  // namespace
 
 // State of one forwarded call, shared by its callbacks.
-struct Agent::Forwarding {
+struct Agent::ForwardedCall {
   std::shared_ptr<H2Stream> out;
   TimePoint sent_at{};
   std::string key;
   bool started = false;
-  bool relaying = false;  // Answer headers have gone to the entry.
+  bool relaying = false;  // The answer's head was sent to the entry.
   bool event_stream = false;
-  bool done_seen = false;
+  bool end_marker_seen = false;
   int status = 0;
-  std::string tail;    // Last bytes, to see the end-of-stream marker.
-  std::string stored;  // The whole answer, for the ledger.
+  std::string tail;  // Last bytes received, to find the end-of-stream marker.
+  std::string answer_for_ledger;  // The answer so far, if it has a key.
 };
 
 Agent::Agent(struct ev_loop* loop, const Clock& clock, Settings settings,
@@ -76,7 +76,7 @@
       ledger_(data_dir.empty() ? "" : data_dir + "/ledger.jsonl"),
       server_(loop,
               [this](const H2Request& r, std::shared_ptr<H2Stream> s) {
-                Handle(r, std::move(s));
+                HandleRequest(r, std::move(s));
               }),
       metrics_server_(
           loop,
@@ -88,7 +88,8 @@
   sigterm_.data = this;
   ev_signal_init(&sigint_, OnSignal, SIGINT);
   sigint_.data = this;
-  InitTimer(&drain_timer_, OnDrainTick, kDrainTickSeconds, kDrainTickSeconds);
+  InitTimer(&drain_timer_, OnDrainTimer, kDrainCheckSeconds,
+            kDrainCheckSeconds);
   drain_timer_.data = this;
 }
 
@@ -119,7 +120,7 @@
 }
 
 void Agent::CheckDrained() {
-  bool timed_out = clock_.Now() - drain_started_ > kMaxDrain;
+  bool timed_out = clock_.Now() - drain_started_ > kMaxDrainTime;
   if (server_.open_streams() == 0 || timed_out) {
     LogEvent("drain_finished", {{"open_streams", server_.open_streams()},
                                 {"timed_out", timed_out ? "true" : "false"}});
@@ -131,7 +132,7 @@
   static_cast<Agent*>(w->data)->Drain();
 }
 
-void Agent::OnDrainTick(struct ev_loop*, ev_timer* w, int) {
+void Agent::OnDrainTimer(struct ev_loop*, ev_timer* w, int) {
   static_cast<Agent*>(w->data)->CheckDrained();
 }
 
@@ -146,49 +147,52 @@
   }
 }
 
-void Agent::Handle(const H2Request& req, std::shared_ptr<H2Stream> out) {
+void Agent::HandleRequest(const H2Request& req, std::shared_ptr<H2Stream> out) {
   std::string name = req.Header(kH2Upstream);
   const UpstreamSettings* u = settings_.FindUpstream(name);
   if (!u || u->agent != host_->name) {
     metrics_.CountRefusal(AnswerFor(ErrorKind::kNoUpstream).code);
-    Refuse(*out, ErrorKind::kNoUpstream,
-           absl::StrCat("upstream '", name, "' is not beside this agent"));
+    RespondWithError(
+        *out, ErrorKind::kNoUpstream,
+        absl::StrCat("upstream '", name, "' is not beside this agent"));
     return;
   }
   if (req.path == "/mw/load") {
-    ReportLoad(*u, std::move(out));
+    SendLoadReport(*u, std::move(out));
     return;
   }
   if (draining_) {
     metrics_.CountRefusal(AnswerFor(ErrorKind::kDraining).code);
-    Refuse(*out, ErrorKind::kDraining, "agent is stopping");
+    RespondWithError(*out, ErrorKind::kDraining, "agent is stopping");
     return;
   }
   if (req.path == "/mw/order") {
-    Order(req, *u, std::move(out));
+    ForwardOrder(req, *u, std::move(out));
     return;
   }
-  Forward(req, *u, std::move(out));
+  ForwardRequest(req, *u, std::move(out));
 }
 
-// Answers a resend of an idempotency key from the ledger. Returns false when
-// the key is new (now recorded as started) and the call should go ahead.
-bool Agent::Replay(const std::string& key, uint64_t fingerprint,
-                   std::shared_ptr<H2Stream>& out) {
-  LedgerVerdict verdict;
+// Answers a request from the ledger when its idempotency key is known. Returns
+// false when the key is new (now recorded as started) and the request should be
+// sent.
+bool Agent::AnswerFromLedger(const std::string& key, uint64_t fingerprint,
+                             std::shared_ptr<H2Stream>& out) {
+  LedgerKeyState key_state;
   const LedgerEntry* entry = nullptr;
-  absl::Status s = ledger_.Begin(key, fingerprint, &verdict, &entry);
+  absl::Status s = ledger_.BeginRequest(key, fingerprint, &key_state, &entry);
   if (!s.ok()) {
-    // Not recorded, so not sent: safe to say it did not run.
+    // The request is not sent when its start is not recorded, so it is safe to
+    // report that it did not run.
     LogWarn("ledger_failed",
             {{"key", key}, {"error", std::string(s.message())}});
-    Refuse(*out, ErrorKind::kNotRun, "ledger unavailable");
+    RespondWithError(*out, ErrorKind::kNotRun, "ledger unavailable");
     return true;
   }
-  switch (verdict) {
-    case LedgerVerdict::kNew:
+  switch (key_state) {
+    case LedgerKeyState::kNew:
       return false;
-    case LedgerVerdict::kDone:
+    case LedgerKeyState::kCompleted:
       metrics_.CountRefusal("replayed");
       out->Respond(entry->http_status,
                    {{"content-type", "application/json"},
@@ -196,141 +200,157 @@
                     {"mw-replayed", "1"}},
                    entry->body);
       return true;
-    case LedgerVerdict::kRunning:
+    case LedgerKeyState::kRunning:
       metrics_.CountRefusal(AnswerFor(ErrorKind::kStillRunning).code);
-      Refuse(*out, ErrorKind::kStillRunning, "request with this key is running",
-             true);
+      RespondWithError(*out, ErrorKind::kStillRunning,
+                       "request with this key is running", true);
       return true;
-    case LedgerVerdict::kUnknown:
+    case LedgerKeyState::kMayHaveRun:
       metrics_.CountRefusal(AnswerFor(ErrorKind::kOutcomeUnknown).code);
-      Refuse(*out, ErrorKind::kOutcomeUnknown,
-             "started before a restart; not run again", true);
+      RespondWithError(*out, ErrorKind::kOutcomeUnknown,
+                       "started before a restart; not run again", true);
       return true;
-    case LedgerVerdict::kKeyReused:
+    case LedgerKeyState::kKeyReused:
       metrics_.CountRefusal(AnswerFor(ErrorKind::kKeyReused).code);
-      Refuse(*out, ErrorKind::kKeyReused, "key was used for another request");
+      RespondWithError(*out, ErrorKind::kKeyReused,
+                       "key was used for another request");
       return true;
   }
   return true;
 }
 
-void Agent::Forward(const H2Request& req, const UpstreamSettings& u,
-                    std::shared_ptr<H2Stream> out) {
+void Agent::ForwardRequest(const H2Request& req, const UpstreamSettings& u,
+                           std::shared_ptr<H2Stream> out) {
   std::string key = req.Header(kH2IdempotencyKey);
-  if (!key.empty() && Replay(key, StableHash(req.body), out)) return;
-  auto f = std::make_shared<Forwarding>();
-  f->out = out;
-  f->sent_at = clock_.Now();
-  f->key = key;
+  if (!key.empty() && AnswerFromLedger(key, StableHash(req.body), out)) return;
+  auto forwarded = std::make_shared<ForwardedCall>();
+  forwarded->out = out;
+  forwarded->sent_at = clock_.Now();
+  forwarded->key = key;
   HttpCall call;
   call.url = u.url + req.path;
   call.body = req.body;
   call.headers = {"Content-Type: application/json"};
   call.at_most_once = !key.empty() || !req.Header(kH2NotRepeatable).empty();
-  call.on_status = [f](int status, absl::string_view type) {
-    f->started = true;
-    f->status = status;
-    f->event_stream = absl::StartsWith(type, kEventStreamType);
+  call.on_status = [forwarded](int status, absl::string_view type) {
+    forwarded->started = true;
+    forwarded->status = status;
+    forwarded->event_stream = absl::StartsWith(type, kEventStreamType);
   };
-  call.on_data = [f](absl::string_view data) {
-    if (!f->relaying) {
-      f->relaying = true;
-      // An engine that does not say so; the first piece may hold less of a
-      // stream than this, so what it says goes first.
-      f->event_stream |= absl::StartsWith(data, "data:");
-      f->out->StartStream(
-          f->status, {{kH2Started, "1"},
-                      {"content-type", f->event_stream ? kEventStreamType
-                                                       : "application/json"}});
+  call.on_data = [forwarded](absl::string_view data) {
+    if (!forwarded->relaying) {
+      forwarded->relaying = true;
+      // Detects streams of engines that do not send the content type. A stated
+      // content type counts first: the first chunk may be shorter than "data:".
+      forwarded->event_stream |= absl::StartsWith(data, "data:");
+      forwarded->out->StartStream(
+          forwarded->status,
+          {{kH2Started, "1"},
+           {"content-type",
+            forwarded->event_stream ? kEventStreamType : "application/json"}});
     }
-    f->out->Write(data);
-    if (!f->key.empty()) f->stored.append(data.data(), data.size());
-    f->tail.append(data.data(), data.size());
-    if (absl::StrContains(f->tail, kDoneMarker)) f->done_seen = true;
-    if (f->tail.size() > kDoneTail)
-      f->tail.erase(0, f->tail.size() - kDoneTail);
+    forwarded->out->Write(data);
+    if (!forwarded->key.empty())
+      forwarded->answer_for_ledger.append(data.data(), data.size());
+    forwarded->tail.append(data.data(), data.size());
+    if (absl::StrContains(forwarded->tail, kEndMarker))
+      forwarded->end_marker_seen = true;
+    if (forwarded->tail.size() > kTailBytes)
+      forwarded->tail.erase(0, forwarded->tail.size() - kTailBytes);
   };
-  call.on_done = [this, f, name = u.name](const HttpCallResult& r) {
-    bool whole = r.status.ok() && (!f->event_stream || f->done_seen);
-    if (!f->key.empty()) {
-      absl::Status s = r.never_sent ? ledger_.Abandon(f->key)
-                       : whole
-                           ? ledger_.Complete(f->key, r.http_status, f->stored)
-                           : absl::OkStatus();
-      if (!s.ok()) LogWarn("ledger_failed", {{"key", f->key}});
+  call.on_done = [this, forwarded, name = u.name](const HttpCallResult& r) {
+    bool complete = r.status.ok() &&
+                    (!forwarded->event_stream || forwarded->end_marker_seen);
+    if (!forwarded->key.empty()) {
+      absl::Status s =
+          r.never_sent ? ledger_.AbandonRequest(forwarded->key)
+          : complete   ? ledger_.CompleteRequest(forwarded->key, r.http_status,
+                                                 forwarded->answer_for_ledger)
+                       : absl::OkStatus();
+      if (!s.ok()) LogWarn("ledger_failed", {{"key", forwarded->key}});
     }
     if (!r.status.ok() && r.never_sent) {
       LogEvent("not_run", {{"upstream", name},
                            {"error", std::string(r.status.message())}});
       metrics_.CountRefusal(AnswerFor(ErrorKind::kNotRun).code);
-      Refuse(*f->out, ErrorKind::kNotRun, r.status.message());
-    } else if (!whole) {
+      RespondWithError(*forwarded->out, ErrorKind::kNotRun, r.status.message());
+    } else if (!complete) {
       metrics_.CountRefusal(AnswerFor(ErrorKind::kOutcomeUnknown).code);
       LogWarn("upstream_cut",
               {{"upstream", name}, {"error", std::string(r.status.message())}});
-      if (!f->relaying) {
-        TellCut(name, *f, std::string(r.status.message()), kMostChecks);
+      if (!forwarded->relaying) {
+        AnswerInterruptedCall(name, *forwarded, std::string(r.status.message()),
+                              kMaxLivenessChecks);
       } else {
-        f->out->Reset();
+        forwarded->out->Reset();
       }
     } else {
-      if (!f->relaying) f->out->Respond(r.http_status, {{kH2Started, "1"}}, "");
-      f->out->Finish();
+      if (!forwarded->relaying)
+        forwarded->out->Respond(r.http_status, {{kH2Started, "1"}}, "");
+      forwarded->out->Finish();
     }
   };
   uint64_t id = client_.Start(std::move(call));
-  // A caller gone away stops the upstream's work, unless the call carries an
-  // idempotency key: then it runs to the end, so a resend finds the answer.
+  // When the entry closes the stream, the call is cancelled to stop the
+  // upstream's work. A call with an idempotency key runs to its end, so that a
+  // resend finds the answer.
   if (key.empty()) {
     out->set_on_close([this, id] { client_.Cancel(id); });
   }
 }
 
-// Answers a call that was cut, and says with it whether the engine has ended:
-// entries then know what it had.
-void Agent::TellCut(const std::string& upstream, const Forwarding& cut,
-                    std::string why, int checks) {
+// Answers a call that was interrupted. Checks first whether the upstream
+// process has terminated. If so, the answer carries the id of the termination,
+// so that entries know which requests the process was running.
+void Agent::AnswerInterruptedCall(const std::string& upstream,
+                                  const ForwardedCall& interrupted_call,
+                                  std::string reason, int checks_left) {
   const UpstreamSettings* u = settings_.FindUpstream(upstream);
   HttpCall check;
   check.method = "GET";
   check.url = u->url + (u->kind == "engine" ? "/load" : "");
-  check.timeout = check.connect_timeout = kCheckTimeout;
-  check.on_done = [this, upstream, cut, why = std::move(why),
-                   checks](const HttpCallResult& r) {
-    // A process that is killed closes its connections before its port: the
-    // check may still have been let in, and is cut as well.
-    if (!r.status.ok() && !r.never_sent && checks > 1) {
-      TellCut(upstream, cut, why, checks - 1);
+  check.timeout = check.connect_timeout = kLivenessCheckTimeout;
+  check.on_done = [this, upstream, interrupted_call, reason = std::move(reason),
+                   checks_left](const HttpCallResult& r) {
+    // A killed process closes its connections before its listening port. The
+    // check may still have connected and been interrupted too: it is repeated.
+    if (!r.status.ok() && !r.never_sent && checks_left > 1) {
+      AnswerInterruptedCall(upstream, interrupted_call, reason,
+                            checks_left - 1);
       return;
     }
     HeaderList headers = ErrorHeaders(ErrorKind::kOutcomeUnknown, true);
     if (!r.status.ok() && r.never_sent) {
-      End& end = ends_[upstream];
-      // What was sent since the last end was seen is cut by another.
-      if (cut.sent_at >= end.seen_at) {
-        end = {clock_.Now(), absl::StrCat(absl::Hex(RandomSeed()))};
+      Termination& termination = terminations_[upstream];
+      // A call sent after the last observed termination was interrupted by a
+      // new one.
+      if (interrupted_call.sent_at >= termination.observed_at) {
+        termination = {clock_.Now(), absl::StrCat(absl::Hex(RandomSeed()))};
       }
-      LogEvent("upstream_down", {{"upstream", upstream}, {"end", end.id}});
-      headers.emplace_back(kH2UpstreamEnd, end.id);
+      LogEvent("upstream_down",
+               {{"upstream", upstream}, {"end", termination.id}});
+      headers.emplace_back(kH2UpstreamEnd, termination.id);
     }
-    cut.out->Respond(AnswerFor(ErrorKind::kOutcomeUnknown).http_status, headers,
-                     ErrorBody(ErrorKind::kOutcomeUnknown, why));
+    interrupted_call.out->Respond(
+        AnswerFor(ErrorKind::kOutcomeUnknown).http_status, headers,
+        ErrorBody(ErrorKind::kOutcomeUnknown, reason));
   };
   client_.Start(std::move(check));
 }
 
-// Orders carry the fencing number of the control leader that issued them.
-// The agent refuses one lower than the highest it has passed on, whether or
-// not the upstream itself checks: an old leader, cut off and still issuing,
-// must not undo a newer order.
-void Agent::Order(const H2Request& req, const UpstreamSettings& u,
-                  std::shared_ptr<H2Stream> out) {
+// Forwards an order to the upstream. An order carries the fencing number of the
+// control leader that issued it. The agent rejects a number lower than the
+// highest one it has forwarded, whether or not the upstream checks it too: an
+// old leader that is partitioned and still issues orders must not undo a newer
+// order.
+void Agent::ForwardOrder(const H2Request& req, const UpstreamSettings& u,
+                         std::shared_ptr<H2Stream> out) {
   int64_t fencing = std::atoll(req.Header(kH2Fencing).c_str());
   int64_t& highest = highest_fencing_[u.name];
   if (fencing < highest) {
     metrics_.CountRefusal(AnswerFor(ErrorKind::kStaleFencing).code);
-    Refuse(*out, ErrorKind::kStaleFencing,
-           absl::StrCat("fencing ", fencing, " is below ", highest));
+    RespondWithError(*out, ErrorKind::kStaleFencing,
+                     absl::StrCat("fencing ", fencing, " is below ", highest));
     return;
   }
   highest = fencing;
@@ -352,10 +372,10 @@
   client_.Start(std::move(call));
 }
 
-// Passes on the engine's own load report, lag and all, with whether this
-// agent is leaving, so that entries stop sending it work.
-void Agent::ReportLoad(const UpstreamSettings& u,
-                       std::shared_ptr<H2Stream> out) {
+// Sends the engine's own load report, which lags, and whether this agent is
+// draining, so that entries stop sending it requests.
+void Agent::SendLoadReport(const UpstreamSettings& u,
+                           std::shared_ptr<H2Stream> out) {
   if (u.kind != "engine") {
     out->Respond(
         200, {{"content-type", "application/json"}},
--- a/src/agent.h
+++ b/src/agent.h
@@ -1,9 +1,9 @@
-// The agent: the one small process beside each upstream. It takes requests
-// from entries over HTTP/2, calls its upstream with libcurl, streams the
-// answer back, and says whether the upstream may have received the request
-// (so an entry never claims "not run" wrongly). It keeps the at-most-once
-// ledger for idempotency keys, refuses orders with stale fencing numbers on
-// behalf of upstreams that ignore them, and drains on a planned stop.
+// The agent: a small process next to each upstream. It receives requests from
+// entries over HTTP/2, calls the upstream with libcurl and streams the answer
+// back. It reports whether the upstream may have received the request, so that
+// an entry never wrongly answers "not run". It keeps the at-most-once ledger
+// for idempotency keys, rejects orders with stale fencing numbers on behalf of
+// upstreams that ignore them, and drains on a planned stop.
 #ifndef MEDLARWALK_AGENT_H_
 #define MEDLARWALK_AGENT_H_
 
@@ -26,34 +26,37 @@
 // The agent process. Thread safety: loop thread only.
 class Agent {
  public:
-  // `host` names this agent in `settings`; `data_dir` holds the ledger ("" for
-  // a host without a disk). Precondition: `host` is an agent in `settings`.
+  // `host` is this agent's name in `settings`. `data_dir` holds the ledger; on
+  // a host without a disk it is "" and the ledger is kept in memory.
+  // Precondition: `host` is an agent in `settings`.
   Agent(struct ev_loop* loop, const Clock& clock, Settings settings,
         std::string host, std::string data_dir);
 
-  // Opens the ledger and starts listening. Errors: from the ledger or ports.
+  // Opens the ledger and starts listening. Errors: from opening the
+  // ledger or binding a port.
   absl::Status Start();
 
-  // Begins a planned stop: no new streams (GOAWAY), requests in progress
-  // finish, then the loop ends. Idempotent.
+  // Begins a planned stop: accepts no new streams (GOAWAY), lets requests in
+  // flight finish, then ends the loop. Idempotent.
   void Drain();
 
  private:
-  struct Forwarding;
-  void Handle(const H2Request& req, std::shared_ptr<H2Stream> out);
-  void Forward(const H2Request& req, const UpstreamSettings& u,
-               std::shared_ptr<H2Stream> out);
-  void Order(const H2Request& req, const UpstreamSettings& u,
-             std::shared_ptr<H2Stream> out);
-  void ReportLoad(const UpstreamSettings& u, std::shared_ptr<H2Stream> out);
+  struct ForwardedCall;
+  void HandleRequest(const H2Request& req, std::shared_ptr<H2Stream> out);
+  void ForwardRequest(const H2Request& req, const UpstreamSettings& u,
+                      std::shared_ptr<H2Stream> out);
+  void ForwardOrder(const H2Request& req, const UpstreamSettings& u,
+                    std::shared_ptr<H2Stream> out);
+  void SendLoadReport(const UpstreamSettings& u, std::shared_ptr<H2Stream> out);
   void ServeMetrics(const HttpRequest& req, std::shared_ptr<HttpExchange> ex);
-  bool Replay(const std::string& key, uint64_t fingerprint,
-              std::shared_ptr<H2Stream>& out);
-  void TellCut(const std::string& upstream, const Forwarding& cut,
-               std::string why, int checks);
+  bool AnswerFromLedger(const std::string& key, uint64_t fingerprint,
+                        std::shared_ptr<H2Stream>& out);
+  void AnswerInterruptedCall(const std::string& upstream,
+                             const ForwardedCall& interrupted_call,
+                             std::string reason, int checks_left);
   void CheckDrained();
   static void OnSignal(struct ev_loop* loop, ev_signal* w, int revents);
-  static void OnDrainTick(struct ev_loop* loop, ev_timer* w, int revents);
+  static void OnDrainTimer(struct ev_loop* loop, ev_timer* w, int revents);
 
   struct ev_loop* loop_;
   const Clock& clock_;
@@ -64,12 +67,12 @@
   H2Server server_;
   HttpServer metrics_server_;
   HttpClient client_;
-  // The last end of an upstream.
-  struct End {
-    TimePoint seen_at{};
-    std::string id;  // Tells it from other ends.
+  // The last observed termination of an upstream process.
+  struct Termination {
+    TimePoint observed_at{};
+    std::string id;  // Distinguishes it from other terminations.
   };
-  std::map<std::string, End> ends_;  // By upstream.
+  std::map<std::string, Termination> terminations_;  // By upstream name.
   std::map<std::string, int64_t> highest_fencing_;
   bool draining_ = false;
   TimePoint drain_started_{};
--- a/src/agent_link.cc
+++ b/src/agent_link.cc
@@ -5,11 +5,11 @@
 void AgentLink::Start(UpstreamCall call) {
   std::shared_ptr<AgentLink> self = shared_from_this();
   call_ = std::move(call);
-  busy_ = true;
+  call_active_ = true;
   if (!agent_.usable()) {
-    // A frozen process's kernel still accepts connections: nothing is sent
-    // until a probe was answered.
-    End(CallEnd::kNotSent, "agent does not answer");
+    // The kernel still accepts connections for a frozen process, so nothing is
+    // sent until the agent has answered a probe.
+    EndCall(CallEnd::kNotSent, "agent does not answer");
     return;
   }
   sent_ = true;
@@ -18,50 +18,50 @@
   h2.path = call_.request.target;
   h2.headers = call_.request.headers;
   h2.body = Payload(std::string(call_.request.body));
-  std::weak_ptr<AgentLink> link = self;
-  h2.on_response = [link](int status, const auto& headers) {
-    std::shared_ptr<AgentLink> l = link.lock();
-    if (!l || !l->busy_) return;
+  std::weak_ptr<AgentLink> weak_link = self;
+  h2.on_response = [weak_link](int status, const auto& headers) {
+    std::shared_ptr<AgentLink> link = weak_link.lock();
+    if (!link || !link->call_active_) return;
     MessageHead head;
     head.status = status;
     for (const auto& [k, v] : headers) head.headers.emplace_back(k, v);
-    l->have_head_ = true;
-    l->call_.on_head(head);
+    link->head_received_ = true;
+    link->call_.on_head(head);
   };
-  h2.on_data = [link](absl::string_view d) {
-    std::shared_ptr<AgentLink> l = link.lock();
-    if (l && l->busy_) l->call_.on_body(d);
+  h2.on_data = [weak_link](absl::string_view d) {
+    std::shared_ptr<AgentLink> link = weak_link.lock();
+    if (link && link->call_active_) link->call_.on_body(d);
   };
-  h2.on_close = [link](const absl::Status& status, bool never_sent) {
-    std::shared_ptr<AgentLink> l = link.lock();
-    if (l && l->busy_) l->OnClose(status, never_sent);
+  h2.on_close = [weak_link](const absl::Status& status, bool never_sent) {
+    std::shared_ptr<AgentLink> link = weak_link.lock();
+    if (link && link->call_active_) link->OnStreamClose(status, never_sent);
   };
-  int32_t stream = agent_.Submit(std::move(h2));
-  if (busy_) stream_ = stream;
+  int32_t stream_handle = agent_.Submit(std::move(h2));
+  if (call_active_) stream_handle_ = stream_handle;
 }
 
-void AgentLink::OnClose(const absl::Status& status, bool never_sent) {
-  if (status.ok() && have_head_) {
-    End(CallEnd::kWhole, EndName(EndKnownBy::kStreamEnd));
+void AgentLink::OnStreamClose(const absl::Status& status, bool never_sent) {
+  if (status.ok() && head_received_) {
+    EndCall(CallEnd::kWhole, EndName(EndKnownBy::kStreamEnd));
   } else if (never_sent) {
-    End(CallEnd::kNotSent, status.message());
+    EndCall(CallEnd::kNotSent, status.message());
   } else {
-    End(have_head_ ? CallEnd::kBrokenOff : CallEnd::kNoAnswer,
-        status.message());
+    EndCall(head_received_ ? CallEnd::kBrokenOff : CallEnd::kNoAnswer,
+            status.message());
   }
 }
 
-void AgentLink::End(CallEnd end, absl::string_view why) {
-  busy_ = false;
-  std::string reason(why);
+void AgentLink::EndCall(CallEnd end, absl::string_view reason) {
+  call_active_ = false;
+  std::string reason_copy(reason);
   auto f = std::move(call_.on_end);
-  if (f) f(end, reason);
+  if (f) f(end, reason_copy);
 }
 
 void AgentLink::Cancel() {
-  if (!busy_) return;
-  busy_ = false;
-  if (stream_) agent_.Cancel(stream_);
+  if (!call_active_) return;
+  call_active_ = false;
+  if (stream_handle_) agent_.Cancel(stream_handle_);
 }
 
 }  // namespace medlarwalk
--- a/src/agent_link.h
+++ b/src/agent_link.h
@@ -1,5 +1,5 @@
-// One call to an upstream through the agent beside it: a stream on the
-// HTTP/2 connection that all calls to that agent share.
+// One call to an upstream through the agent next to it: a stream on the HTTP/2
+// connection that all calls to that agent share.
 #ifndef MEDLARWALK_AGENT_LINK_H_
 #define MEDLARWALK_AGENT_LINK_H_
 
@@ -11,7 +11,7 @@
 
 namespace medlarwalk {
 
-// Carries one call and is not kept after it. Thread safety: loop thread only.
+// Carries one call and is not reused. Thread safety: loop thread only.
 class AgentLink : public UpstreamLink,
                   public std::enable_shared_from_this<AgentLink> {
  public:
@@ -24,25 +24,25 @@
   void Start(UpstreamCall call) override;
   void Cancel() override;
   void Close() override { Cancel(); }
-  bool idle() const override { return !busy_; }
+  bool idle() const override { return !call_active_; }
   bool open() const override { return false; }
   bool sent() const override { return sent_; }
-  // The stream's window bounds nothing here: what a slow caller has not taken
-  // is held by the process, as the agents are few and near.
+  // Has no effect: this process buffers what a slow caller has not read yet.
+  // Flow control can be omitted because agents are few and close by.
   void PauseRead(bool) override {}
   TimePoint idle_since() const override { return {}; }
   Duration keep_for() const override { return {}; }
 
  private:
-  void OnClose(const absl::Status& status, bool never_sent);
-  void End(CallEnd end, absl::string_view why);
+  void OnStreamClose(const absl::Status& status, bool never_sent);
+  void EndCall(CallEnd end, absl::string_view reason);
 
   H2Client& agent_;
   UpstreamCall call_;
-  int32_t stream_ = 0;
-  bool busy_ = false;
+  int32_t stream_handle_ = 0;
+  bool call_active_ = false;
   bool sent_ = false;
-  bool have_head_ = false;
+  bool head_received_ = false;
 };
 
 }  // namespace medlarwalk
--- a/src/entry.cc
+++ b/src/entry.cc
@@ -14,35 +14,39 @@
 using nlohmann::json;
 
 constexpr double kTickSeconds = 0.01;
-// Engines' reports lag by more than this anyway.
-constexpr double kLoadTickSeconds = 0.5;
-// Retries allowed in a window beside the budget's share, so that a quiet
-// entry can retry.
-constexpr double kRetryFloor = 10;
-// Engines that serve a model here are too few to be divided by shape of work.
-constexpr int kSplitFrom = 6;
-// An engine whose tokens come this many times as far apart as the median
-// engine's is a straggler.
+// Engines' load reports lag by more than this, so polling more often would not
+// help.
+constexpr double kLoadPollSeconds = 0.5;
+// Retries allowed per window in addition to the budget's share of requests, so
+// that an entry with little traffic can retry.
+constexpr double kBaseRetriesPerWindow = 10;
+// A service with fewer engines than this does not divide them by shape of work.
+// Deployments of this API have too few engines per model for it.
+constexpr int kMinEnginesToSplit = 6;
+// An engine is a straggler when its inter-token gap is this many times the gap
+// of the median engine.
 constexpr double kStragglerFactor = 2.0;
-// Of the requests sent to one upstream at once, this share is the top tier's:
-// at least one, or its calls find every place filled for seconds.
-constexpr double kReservedShare = 0.05;
-constexpr double kNever = 1e6;
-
-GatewayOptions OptionsFor(const Settings& s, const HostSettings& host,
-                          EntryPolicyKind policy) {
+// Share of the requests in flight to one upstream that is reserved for the top
+// tier (at least one request). Without it, requests of the top tier may find
+// all slots taken for seconds.
+constexpr double kReservedTopTierShare = 0.05;
+constexpr double kNoLimit = 1e6;
+
+GatewayOptions BuildGatewayOptions(const Settings& s, const HostSettings& host,
+                                   EntryPolicyKind policy) {
   GatewayOptions o;
   o.data_centre = host.data_centre;
-  // All of the setting is this entry's, which shares its allowance with none.
+  // The division by kBudgetUse gives this entry the whole configured retry
+  // budget: it shares its allowance with no other process.
   o.retry.ratio = s.entry.retry_budget_percent / 100.0 / kBudgetUse;
-  o.retry.slack = kRetryFloor / kBudgetUse;
+  o.retry.slack = kBaseRetriesPerWindow / kBudgetUse;
   o.connection_share = 1.0;
-  o.placement.split_from = kSplitFrom;
-  // Its settings say how many requests an entry may send an engine.
+  o.placement.split_from = kMinEnginesToSplit;
+  // The settings already limit the requests that an entry sends to an engine.
   o.placement.own_generations_share = 0;
   o.placement.most_plain_load = 1.0;
   o.placement.straggler_factor = kStragglerFactor;
-  o.placement.reserved_share = kReservedShare;
+  o.placement.reserved_share = kReservedTopTierShare;
   o.waiting.most_target_share = 1.0;
   o.waiting.most_waiting = static_cast<size_t>(s.entry.queue_limit);
   o.waiting.refuse_unmeetable = true;
@@ -50,9 +54,9 @@
   if (policy == EntryPolicyKind::kNaive) {
     o.placement.reserved_share = 0;
     o.placement.blind = true;
-    o.reading.start = o.reading.least = kNever;
+    o.reading.start = o.reading.least = kNoLimit;
     o.waiting.tiered = false;
-    o.waiting.most_target_share = kNever;
+    o.waiting.most_target_share = kNoLimit;
     o.waiting.refuse_unmeetable = false;
     o.waiting.starvation_bound = {};
   }
@@ -73,26 +77,27 @@
       gateway_(
           loop, clock,
           [&] {
-            GatewayOptions o = OptionsFor(*settings_, *host_, policy);
+            GatewayOptions o = BuildGatewayOptions(*settings_, *host_, policy);
             o.open_link = [this](const UpstreamInfo& to, Duration) {
-              return std::make_shared<AgentLink>(AgentOf(to.id));
+              return std::make_shared<AgentLink>(AgentClientFor(to.id));
             };
             return o;
           }(),
           OwnDialect(settings_, host), metrics_, StableHash(host)),
-      callers_(loop, clock, [this](std::shared_ptr<CallerExchange> ex) {
+      caller_server_(loop, clock, [this](std::shared_ptr<CallerExchange> ex) {
         Handle(std::move(ex));
       }) {
   auto routing = std::make_shared<const RoutingConfig>(OwnRouting(*settings_));
-  callers_.set_limits(routing->limits);
-  callers_.set_most_connections(CallersFor(DescriptorLimit()));
+  caller_server_.set_limits(routing->limits);
+  caller_server_.set_most_connections(CallersFor(DescriptorLimit()));
   gateway_.SetServing(1);
   gateway_.SetConfig(std::move(routing));
   gateway_.SetUpstreams(upstreams_);
-  InitTimer(&tick_, OnTick, kTickSeconds, kTickSeconds);
-  tick_.data = this;
-  InitTimer(&load_tick_, OnLoadTick, kLoadTickSeconds, kLoadTickSeconds);
-  load_tick_.data = this;
+  InitTimer(&tick_timer_, OnTickTimer, kTickSeconds, kTickSeconds);
+  tick_timer_.data = this;
+  InitTimer(&load_poll_timer_, OnLoadPollTimer, kLoadPollSeconds,
+            kLoadPollSeconds);
+  load_poll_timer_.data = this;
   ev_signal_init(&sigterm_, OnSignal, SIGTERM);
   sigterm_.data = this;
   ev_signal_init(&sigint_, OnSignal, SIGINT);
@@ -100,17 +105,17 @@
 }
 
 Entry::~Entry() {
-  ev_timer_stop(loop_, &tick_);
-  ev_timer_stop(loop_, &load_tick_);
+  ev_timer_stop(loop_, &tick_timer_);
+  ev_timer_stop(loop_, &load_poll_timer_);
   ev_signal_stop(loop_, &sigterm_);
   ev_signal_stop(loop_, &sigint_);
 }
 
 absl::Status Entry::Start() {
-  absl::Status s = callers_.Listen(Endpoint{host_->address, host_->port});
+  absl::Status s = caller_server_.Listen(Endpoint{host_->address, host_->port});
   if (!s.ok()) return s;
-  ev_timer_start(loop_, &tick_);
-  ev_timer_start(loop_, &load_tick_);
+  ev_timer_start(loop_, &tick_timer_);
+  ev_timer_start(loop_, &load_poll_timer_);
   ev_signal_start(loop_, &sigterm_);
   ev_signal_start(loop_, &sigint_);
   LogEvent("entry_started",
@@ -124,8 +129,8 @@
 void Entry::Drain() {
   if (draining_) return;
   draining_ = true;
-  callers_.CloseAfterAnswers();
-  callers_.StopAccepting();
+  caller_server_.CloseAfterAnswers();
+  caller_server_.StopAccepting();
   gateway_.BeginDrain();
   LogEvent("drain_started", {{"open", gateway_.open_requests()}});
 }
@@ -143,9 +148,9 @@
   }
 }
 
-H2Client& Entry::AgentOf(const std::string& upstream) {
+H2Client& Entry::AgentClientFor(const std::string& upstream) {
   const UpstreamSettings* u = settings_->FindUpstream(upstream);
-  std::unique_ptr<H2Client>& c = agents_[u->agent];
+  std::unique_ptr<H2Client>& c = agent_clients_[u->agent];
   if (!c) {
     const HostSettings* h = settings_->FindHost(u->agent);
     c = std::make_unique<H2Client>(loop_, clock_, h->address, h->port,
@@ -155,55 +160,59 @@
   return *c;
 }
 
-// Asks each agent for its upstream's (lagging) load and whether it leaves.
+// Requests from each agent the load of its upstream, which lags, and whether
+// the agent is draining.
 void Entry::PollLoad() {
   for (const UpstreamInfo& u : upstreams_) {
     H2Call call;
     call.method = "GET";
     call.path = "/mw/load";
     call.headers = {{kH2Upstream, u.id}};
-    auto buf = std::make_shared<std::string>();
-    call.on_data = [buf](absl::string_view d) {
-      buf->append(d.data(), d.size());
+    auto report_text = std::make_shared<std::string>();
+    call.on_data = [report_text](absl::string_view d) {
+      report_text->append(d.data(), d.size());
     };
-    call.on_close = [this, id = u.id, buf](const absl::Status& s, bool) {
-      if (s.ok()) OnLoad(id, *buf);
+    call.on_close = [this, id = u.id, report_text](const absl::Status& s,
+                                                   bool) {
+      if (s.ok()) ApplyLoadReport(id, *report_text);
     };
-    AgentOf(u.id).Submit(std::move(call));
+    AgentClientFor(u.id).Submit(std::move(call));
   }
 }
 
-void Entry::OnLoad(const std::string& upstream, const std::string& report) {
+void Entry::ApplyLoadReport(const std::string& upstream,
+                            const std::string& report) {
   json j = json::parse(report, nullptr, false);
   if (!j.is_object()) {
     LogWarn("bad_load_report", {{"upstream", upstream}});
     return;
   }
   gateway_.NoteLoad(upstream, j.value("running", 0), j.value("waiting", 0));
-  bool leaving = j.value("leaving", false);
+  bool draining = j.value("leaving", false);
   for (UpstreamInfo& u : upstreams_) {
-    if (u.id != upstream || u.leaving == leaving) continue;
-    u.leaving = leaving;
+    if (u.id != upstream || u.leaving == draining) continue;
+    u.leaving = draining;
     gateway_.SetUpstreams(upstreams_);
   }
 }
 
 void Entry::Tick() {
   for (const UpstreamInfo& u : upstreams_) {
-    gateway_.SetReachable(u.id, AgentOf(u.id).usable());
+    gateway_.SetReachable(u.id, AgentClientFor(u.id).usable());
   }
   gateway_.Tick();
-  if (draining_ && gateway_.open_requests() == 0 && callers_.busy() == 0) {
+  if (draining_ && gateway_.open_requests() == 0 &&
+      caller_server_.busy() == 0) {
     LogEvent("stopped", {});
     ev_break(loop_, EVBREAK_ALL);
   }
 }
 
-void Entry::OnTick(struct ev_loop*, ev_timer* w, int) {
+void Entry::OnTickTimer(struct ev_loop*, ev_timer* w, int) {
   static_cast<Entry*>(w->data)->Tick();
 }
 
-void Entry::OnLoadTick(struct ev_loop*, ev_timer* w, int) {
+void Entry::OnLoadPollTimer(struct ev_loop*, ev_timer* w, int) {
   static_cast<Entry*>(w->data)->PollLoad();
 }
 
--- a/src/entry.h
+++ b/src/entry.h
@@ -1,5 +1,6 @@
-// The entry of the product's own interface: callers' HTTP on one side, the
-// agents beside the upstreams over HTTP/2 on the other, the gateway between.
+// The entry process of medlarwalk's own API. Callers send it HTTP requests; it
+// forwards them over HTTP/2 to the agents next to the upstreams. The gateway
+// chooses the upstream.
 #ifndef MEDLARWALK_ENTRY_H_
 #define MEDLARWALK_ENTRY_H_
 
@@ -19,8 +20,8 @@
 
 namespace medlarwalk {
 
-// Which policy the entry runs: ours, or the naive baseline (first come, first
-// served, any free upstream) that comparisons run against.
+// The policy that the entry runs: the tiered policy, or the naive baseline for
+// comparisons (first come, first served, any free upstream).
 enum class EntryPolicyKind { kTiered, kNaive };
 
 // The entry process. Thread safety: loop thread only.
@@ -35,18 +36,18 @@
 
   // Starts listening. Errors: Unavailable when the port is taken.
   absl::Status Start();
-  // Begins a planned stop: no new connections; requests under way finish;
-  // then the loop ends.
+  // Begins a planned stop: accepts no new connections, lets requests in flight
+  // finish, then ends the loop.
   void Drain();
 
  private:
   void Handle(std::shared_ptr<CallerExchange> ex);
-  H2Client& AgentOf(const std::string& upstream);
+  H2Client& AgentClientFor(const std::string& upstream);
   void PollLoad();
-  void OnLoad(const std::string& upstream, const std::string& report);
+  void ApplyLoadReport(const std::string& upstream, const std::string& report);
   void Tick();
-  static void OnTick(struct ev_loop* loop, ev_timer* w, int revents);
-  static void OnLoadTick(struct ev_loop* loop, ev_timer* w, int revents);
+  static void OnTickTimer(struct ev_loop* loop, ev_timer* w, int revents);
+  static void OnLoadPollTimer(struct ev_loop* loop, ev_timer* w, int revents);
   static void OnSignal(struct ev_loop* loop, ev_signal* w, int revents);
 
   struct ev_loop* loop_;
@@ -55,13 +56,14 @@
   const HostSettings* host_;
   EntryPolicyKind policy_;
   Metrics metrics_;
-  std::map<std::string, std::unique_ptr<H2Client>> agents_;  // By host name.
+  // By host name.
+  std::map<std::string, std::unique_ptr<H2Client>> agent_clients_;
   std::vector<UpstreamInfo> upstreams_;
   Gateway gateway_;
-  CallerServer callers_;
+  CallerServer caller_server_;
   bool draining_ = false;
-  ev_timer tick_{};
-  ev_timer load_tick_{};
+  ev_timer tick_timer_{};
+  ev_timer load_poll_timer_{};
   ev_signal sigterm_{};
   ev_signal sigint_{};
 };
--- a/src/fake_engine.cc
+++ b/src/fake_engine.cc
@@ -16,21 +16,21 @@
 constexpr size_t kEchoChars = 24;
 constexpr int kDefaultMaxTokens = 16;
 constexpr int kMaxTokens = 4096;
-constexpr size_t kEventsKept = 4096;
+constexpr size_t kMaxCacheEvents = 4096;
 
 HeaderList JsonHeaders() { return {{"Content-Type", "application/json"}}; }
 
 }  // namespace
 
-struct FakeEngine::Running {
+struct FakeEngine::ChatRequest {
   std::shared_ptr<HttpExchange> exchange;
   std::string id;
   std::string echo;
   bool stream = false;
   int max_tokens = kDefaultMaxTokens;
-  int emitted = 0;
+  int emitted_tokens = 0;
   TimePoint first_token_at;
-  std::string text;  // Whole answers gather here.
+  std::string answer_text;  // The answer so far, if it is not streamed.
 };
 
 FakeEngine::FakeEngine(struct ev_loop* loop, const Clock& clock,
@@ -40,10 +40,10 @@
       options_(std::move(options)),
       server_(loop,
               [this](const HttpRequest& r, std::shared_ptr<HttpExchange> e) {
-                Handle(r, std::move(e));
+                HandleRequest(r, std::move(e));
               }),
       rng_(options_.seed) {
-  ev_timer_init(&step_timer_, OnStep, 0., 0.);
+  ev_timer_init(&step_timer_, OnStepTimer, 0., 0.);
   step_timer_.data = this;
 }
 
@@ -53,39 +53,40 @@
   return server_.Listen(options_.address, options_.port);
 }
 
-void FakeEngine::Handle(const HttpRequest& req,
-                        std::shared_ptr<HttpExchange> ex) {
+void FakeEngine::HandleRequest(const HttpRequest& req,
+                               std::shared_ptr<HttpExchange> ex) {
   if (req.method == "POST" && req.path == "/v1/chat/completions") {
-    Chat(req, std::move(ex));
+    HandleChat(req, std::move(ex));
   } else if (req.method == "POST" && req.path == "/admin/order") {
-    Order(req, std::move(ex));
+    HandleOrder(req, std::move(ex));
   } else if (req.method == "POST" && req.path == "/admin/fault") {
-    Fault(req, std::move(ex));
+    HandleFault(req, std::move(ex));
   } else if (req.path == "/load") {
-    Load(std::move(ex));
+    HandleLoad(std::move(ex));
   } else if (req.path == "/cache_events") {
-    CacheEvents(req, std::move(ex));
+    HandleCacheEvents(req, std::move(ex));
   } else if (req.path == "/stats") {
-    Stats(std::move(ex));
+    HandleStats(std::move(ex));
   } else {
     ex->Respond(404, JsonHeaders(), R"({"error":"not found"})");
   }
 }
 
-void FakeEngine::Chat(const HttpRequest& req,
-                      std::shared_ptr<HttpExchange> ex) {
+void FakeEngine::HandleChat(const HttpRequest& req,
+                            std::shared_ptr<HttpExchange> ex) {
   json body = json::parse(req.body, nullptr, false);
   if (body.is_discarded() || !body.contains("messages") ||
       !body["messages"].is_array() || body["messages"].empty()) {
     ex->Respond(400, JsonHeaders(), R"({"error":"bad request"})");
     return;
   }
-  // The first message is the shared part (system prompt, document) that a
-  // prefix cache keeps; the last is the caller's own question, echoed back
-  // so that a caller can tell its answer from another's.
+  // The first message is the shared prefix (system prompt, document) that the
+  // prefix cache keeps. The last message is the caller's question. Its
+  // beginning is echoed, so that a caller can tell its answer from the answer
+  // to another request.
   std::string shared = body["messages"].front().value("content", "");
   std::string prompt = body["messages"].back().value("content", "");
-  auto r = std::make_unique<Running>();
+  auto r = std::make_unique<ChatRequest>();
   r->exchange = ex;
   r->id = absl::StrCat("fake-", ++requests_);
   r->echo = prompt.substr(0, kEchoChars);
@@ -93,7 +94,7 @@
   r->max_tokens =
       std::clamp(body.value("max_tokens", kDefaultMaxTokens), 1, kMaxTokens);
   uint64_t prefix = StableHash(shared.substr(0, kPrefixChars));
-  bool hit = TouchPrefix(prefix);
+  bool hit = LookUpOrCachePrefix(prefix);
   size_t uncached = prompt.size() + (hit ? 0 : shared.size());
   r->first_token_at =
       clock_.Now() +
@@ -103,60 +104,62 @@
     ex->StartStream(200, {{"Content-Type", "text/event-stream"}});
   }
   waiting_.push_back(std::move(r));
-  ScheduleStep();
+  ScheduleDecodeStep();
 }
 
-// Keeps `prefix` in the bounded cache; says whether it was there already.
-bool FakeEngine::TouchPrefix(uint64_t prefix) {
-  auto it = cached_.find(prefix);
-  if (it != cached_.end()) {
+// Returns whether `prefix` was in the prefix cache. Adds it if not, and marks
+// it as the most recently used.
+bool FakeEngine::LookUpOrCachePrefix(uint64_t prefix) {
+  auto it = cached_prefixes_.find(prefix);
+  if (it != cached_prefixes_.end()) {
     lru_.splice(lru_.begin(), lru_, it->second);
     ++cache_hits_;
     return true;
   }
   lru_.push_front(prefix);
-  cached_[prefix] = lru_.begin();
-  Publish("stored", prefix);
+  cached_prefixes_[prefix] = lru_.begin();
+  RecordCacheEvent("stored", prefix);
   if (static_cast<int>(lru_.size()) > options_.prefix_cache_entries) {
-    uint64_t old = lru_.back();
+    uint64_t evicted = lru_.back();
     lru_.pop_back();
-    cached_.erase(old);
-    Publish("evicted", old);
+    cached_prefixes_.erase(evicted);
+    RecordCacheEvent("evicted", evicted);
   }
   return false;
 }
 
-// Records a cache event that becomes visible late, or never (a gap).
-void FakeEngine::Publish(const std::string& kind, uint64_t prefix) {
+// Records a cache event that becomes visible after a delay. Drops some events,
+// which leaves a gap in the sequence numbers.
+void FakeEngine::RecordCacheEvent(const std::string& kind, uint64_t prefix) {
   uint64_t seq = next_event_seq_++;
   std::uniform_real_distribution<double> u(0, 1);
   if (u(rng_) < options_.cache_event_drop) return;
   events_.push_back(
       {seq, clock_.Now() + options_.cache_event_delay, kind, prefix});
-  if (events_.size() > kEventsKept) events_.pop_front();
+  if (events_.size() > kMaxCacheEvents) events_.pop_front();
 }
 
-void FakeEngine::ScheduleStep() {
+void FakeEngine::ScheduleDecodeStep() {
   if (ev_is_active(&step_timer_)) return;
   int batch = static_cast<int>(running_.size() + waiting_.size());
   double seconds = (std::chrono::duration<double>(options_.step).count() +
-                    options_.step_per_request_us * 1e-6 *
-                        std::min(batch, options_.max_batch)) *
+                    options_.extra_step_us_per_request * 1e-6 *
+                        std::min(batch, options_.max_batch_size)) *
                    straggle_factor_;
   ev_timer_set(&step_timer_, seconds, 0.);
   ev_timer_start(loop_, &step_timer_);
 }
 
-void FakeEngine::OnStep(struct ev_loop*, ev_timer* w, int) {
-  static_cast<FakeEngine*>(w->data)->Step();
+void FakeEngine::OnStepTimer(struct ev_loop*, ev_timer* w, int) {
+  static_cast<FakeEngine*>(w->data)->RunDecodeStep();
 }
 
-// One decode step: admits waiting requests into the batch, then gives every
-// request whose prefill is done one more token.
-void FakeEngine::Step() {
+// Runs one decode step: admits waiting requests to the batch, then emits one
+// token for each request whose prefill is done.
+void FakeEngine::RunDecodeStep() {
   TimePoint now = clock_.Now();
   while (!waiting_.empty() &&
-         static_cast<int>(running_.size()) < options_.max_batch) {
+         static_cast<int>(running_.size()) < options_.max_batch_size) {
     running_.push_back(std::move(waiting_.front()));
     waiting_.pop_front();
   }
@@ -167,7 +170,7 @@
     load_history_.pop_front();
   }
   for (auto it = running_.begin(); it != running_.end();) {
-    Running& r = **it;
+    ChatRequest& r = **it;
     if (r.exchange->closed()) {
       it = running_.erase(it);
       continue;
@@ -176,13 +179,14 @@
       ++it;
       continue;
     }
-    std::string token = r.emitted == 0 ? absl::StrCat("[", r.echo, "]")
-                                       : absl::StrCat(" tok", r.emitted);
-    ++r.emitted;
+    std::string token = r.emitted_tokens == 0
+                            ? absl::StrCat("[", r.echo, "]")
+                            : absl::StrCat(" tok", r.emitted_tokens);
+    ++r.emitted_tokens;
     ++tokens_;
-    bool last = r.emitted >= r.max_tokens;
-    bool truncate =
-        truncate_after_tokens_ > 0 && r.emitted >= truncate_after_tokens_;
+    bool last = r.emitted_tokens >= r.max_tokens;
+    bool truncate = truncate_after_tokens_ > 0 &&
+                    r.emitted_tokens >= truncate_after_tokens_;
     if (r.stream) {
       json chunk = {
           {"id", r.id},
@@ -192,9 +196,9 @@
       if (last && !truncate) r.exchange->Write("data: [DONE]\n\n");
       if (last || truncate) r.exchange->Finish();
     } else {
-      r.text += token;
+      r.answer_text += token;
       if (truncate) {
-        // A crash before the answer is whole: the connection just ends.
+        // Stands for a crash before the answer is complete.
         r.exchange->Respond(500, JsonHeaders(),
                             R"({"error":"engine crashed"})");
       } else if (last) {
@@ -203,9 +207,9 @@
             {"object", "chat.completion"},
             {"choices",
              {{{"index", 0},
-               {"message", {{"role", "assistant"}, {"content", r.text}}},
+               {"message", {{"role", "assistant"}, {"content", r.answer_text}}},
                {"finish_reason", "length"}}}},
-            {"usage", {{"completion_tokens", r.emitted}}}};
+            {"usage", {{"completion_tokens", r.emitted_tokens}}}};
         r.exchange->Respond(200, JsonHeaders(), answer.dump());
       }
     }
@@ -215,11 +219,11 @@
       ++it;
     }
   }
-  if (!running_.empty() || !waiting_.empty()) ScheduleStep();
+  if (!running_.empty() || !waiting_.empty()) ScheduleDecodeStep();
 }
 
-void FakeEngine::Load(std::shared_ptr<HttpExchange> ex) {
-  // The oldest sample kept is about report_lag old: that is what is told.
+void FakeEngine::HandleLoad(std::shared_ptr<HttpExchange> ex) {
+  // The oldest sample kept is about report_lag old; it is the reported load.
   json out = {{"running", 0}, {"waiting", 0}};
   if (!load_history_.empty()) {
     out["running"] = load_history_.front().running;
@@ -228,11 +232,11 @@
   ex->Respond(200, JsonHeaders(), out.dump());
 }
 
-void FakeEngine::CacheEvents(const HttpRequest& req,
-                             std::shared_ptr<HttpExchange> ex) {
+void FakeEngine::HandleCacheEvents(const HttpRequest& req,
+                                   std::shared_ptr<HttpExchange> ex) {
   uint64_t after = 0;
-  std::string v = req.Header("x-after");
-  if (!v.empty()) after = std::stoull(v);
+  std::string after_header = req.Header("x-after");
+  if (!after_header.empty()) after = std::stoull(after_header);
   TimePoint now = clock_.Now();
   json list = json::array();
   for (const auto& e : events_) {
@@ -243,11 +247,11 @@
   ex->Respond(200, JsonHeaders(), json{{"events", list}}.dump());
 }
 
-// An order (load a model, adapter or version, change role). An engine that
-// checks fencing refuses numbers lower than the highest it has seen; one that
-// does not applies it anyway, and the stale count shows the harm.
-void FakeEngine::Order(const HttpRequest& req,
-                       std::shared_ptr<HttpExchange> ex) {
+// Handles an order (load a model, adapter or version; change role). An engine
+// that checks fencing rejects numbers lower than the highest one it has
+// applied. An engine that does not check applies stale orders and counts them.
+void FakeEngine::HandleOrder(const HttpRequest& req,
+                             std::shared_ptr<HttpExchange> ex) {
   json body = json::parse(req.body, nullptr, false);
   if (body.is_discarded() || !body.contains("fencing")) {
     ex->Respond(400, JsonHeaders(), R"({"error":"bad order"})");
@@ -265,8 +269,8 @@
   ex->Respond(200, JsonHeaders(), R"({"applied":true})");
 }
 
-void FakeEngine::Fault(const HttpRequest& req,
-                       std::shared_ptr<HttpExchange> ex) {
+void FakeEngine::HandleFault(const HttpRequest& req,
+                             std::shared_ptr<HttpExchange> ex) {
   json body = json::parse(req.body, nullptr, false);
   if (body.is_discarded()) {
     ex->Respond(400, JsonHeaders(), R"({"error":"bad fault"})");
@@ -277,7 +281,7 @@
   ex->Respond(200, JsonHeaders(), R"({"ok":true})");
 }
 
-void FakeEngine::Stats(std::shared_ptr<HttpExchange> ex) {
+void FakeEngine::HandleStats(std::shared_ptr<HttpExchange> ex) {
   json out = {{"requests", requests_},
               {"tokens", tokens_},
               {"cache_hits", cache_hits_},
--- a/src/fake_engine.h
+++ b/src/fake_engine.h
@@ -1,9 +1,9 @@
-// Stand-in for a model engine, speaking the OpenAI-style chat API. It models
-// what the brief says of engines, no more: continuous batching (a step gets
-// slower as the batch grows), a prefix cache of limited size, load reports
-// that lag, cache events published late and with gaps, faults on order
-// (truncate mid-stream, straggle), and orders with fencing numbers that it
-// either checks or ignores. It is not a cluster simulator.
+// A stand-in for a model engine with the OpenAI-style chat API. It models only
+// these properties of engines: continuous batching (a decode step takes longer
+// as the batch grows), a prefix cache of limited size, load reports that lag,
+// cache events that are published late and with gaps, injected faults
+// (truncated answers, slow decoding), and orders with fencing numbers that it
+// either checks or ignores. It does not simulate a cluster.
 #ifndef MEDLARWALK_FAKE_ENGINE_H_
 #define MEDLARWALK_FAKE_ENGINE_H_
 
@@ -24,19 +24,19 @@
 
 namespace medlarwalk {
 
-// How the stand-in behaves. Units in the names.
+// Behavior of the stand-in engine.
 struct FakeEngineOptions {
   std::string address = "127.0.0.1";
   int port = 0;
-  Millis step{10};                   // One decode step with an empty batch.
-  double step_per_request_us = 300;  // Added to a step per running request.
-  int max_batch = 64;                // Requests decoded together.
-  double prefill_us_per_char = 20;   // Prompt characters not in the cache.
-  int prefix_cache_entries = 256;    // Prefixes the cache holds.
-  Millis report_lag{500};            // Age of the load it reports.
-  Millis cache_event_delay{300};     // Delay before an event is visible.
-  double cache_event_drop = 0.1;     // Share of events never published.
-  bool checks_fencing = true;        // Refuses orders with an old number.
+  Millis step{10};  // Time of a decode step with an empty batch.
+  double extra_step_us_per_request = 300;  // Added to the step time.
+  int max_batch_size = 64;  // Maximum number of requests decoded together.
+  double prefill_us_per_char = 20;  // Of the uncached part of a prompt.
+  int prefix_cache_entries = 256;   // Capacity of the prefix cache.
+  Millis report_lag{500};           // Age of the reported load.
+  Millis cache_event_delay{300};    // Delay before a cache event is visible.
+  double cache_event_drop = 0.1;    // Share of cache events never published.
+  bool checks_fencing = true;       // Rejects orders with a stale number.
   uint64_t seed = 1;
 };
 
@@ -51,19 +51,20 @@
   absl::Status Start();
 
  private:
-  struct Running;
-  void Handle(const HttpRequest& req, std::shared_ptr<HttpExchange> ex);
-  void Chat(const HttpRequest& req, std::shared_ptr<HttpExchange> ex);
-  void Order(const HttpRequest& req, std::shared_ptr<HttpExchange> ex);
-  void Fault(const HttpRequest& req, std::shared_ptr<HttpExchange> ex);
-  void Load(std::shared_ptr<HttpExchange> ex);
-  void CacheEvents(const HttpRequest& req, std::shared_ptr<HttpExchange> ex);
-  void Stats(std::shared_ptr<HttpExchange> ex);
-  bool TouchPrefix(uint64_t prefix);
-  void Publish(const std::string& kind, uint64_t prefix);
-  void Step();
-  void ScheduleStep();
-  static void OnStep(struct ev_loop* loop, ev_timer* w, int revents);
+  struct ChatRequest;
+  void HandleRequest(const HttpRequest& req, std::shared_ptr<HttpExchange> ex);
+  void HandleChat(const HttpRequest& req, std::shared_ptr<HttpExchange> ex);
+  void HandleOrder(const HttpRequest& req, std::shared_ptr<HttpExchange> ex);
+  void HandleFault(const HttpRequest& req, std::shared_ptr<HttpExchange> ex);
+  void HandleLoad(std::shared_ptr<HttpExchange> ex);
+  void HandleCacheEvents(const HttpRequest& req,
+                         std::shared_ptr<HttpExchange> ex);
+  void HandleStats(std::shared_ptr<HttpExchange> ex);
+  bool LookUpOrCachePrefix(uint64_t prefix);
+  void RecordCacheEvent(const std::string& kind, uint64_t prefix);
+  void RunDecodeStep();
+  void ScheduleDecodeStep();
+  static void OnStepTimer(struct ev_loop* loop, ev_timer* w, int revents);
 
   struct ev_loop* loop_;
   const Clock& clock_;
@@ -71,19 +72,20 @@
   HttpServer server_;
   ev_timer step_timer_{};
   std::mt19937_64 rng_;
-  std::list<std::unique_ptr<Running>> running_;
-  std::deque<std::unique_ptr<Running>> waiting_;
-  // Prefix cache: most recent at the front.
+  std::list<std::unique_ptr<ChatRequest>> running_;
+  std::deque<std::unique_ptr<ChatRequest>> waiting_;
+  // Prefix cache: the most recently used prefix is at the front.
   std::list<uint64_t> lru_;
-  std::unordered_map<uint64_t, std::list<uint64_t>::iterator> cached_;
-  // Load history for lagged reports: (time, running, waiting).
+  std::unordered_map<uint64_t, std::list<uint64_t>::iterator> cached_prefixes_;
+  // A past load, kept for lagged load reports.
   struct LoadSample {
     TimePoint at;
     int running;
     int waiting;
   };
   std::deque<LoadSample> load_history_;
-  // Cache events: sequence numbers grow even for dropped events (gaps).
+  // A cache event. Dropped events use up sequence numbers too, which leaves
+  // gaps.
   struct CacheEvent {
     uint64_t seq;
     TimePoint visible_at;
@@ -92,10 +94,12 @@
   };
   std::deque<CacheEvent> events_;
   uint64_t next_event_seq_ = 1;
-  // Faults and orders.
+  // Injected faults.
   int truncate_after_tokens_ = 0;
   double straggle_factor_ = 1.0;
+  // Highest fencing number of an applied order.
   int64_t highest_fencing_ = 0;
+  // Counters for /stats.
   int64_t orders_applied_ = 0;
   int64_t stale_orders_applied_ = 0;
   int64_t requests_ = 0;
--- a/src/fake_service.cc
+++ b/src/fake_service.cc
@@ -9,29 +9,29 @@
 using nlohmann::json;
 
 FakeService::FakeService(struct ev_loop* loop, std::string address, int port,
-                         Millis delay)
+                         Millis answer_delay)
     : loop_(loop),
       address_(std::move(address)),
       port_(port),
-      delay_(delay),
+      answer_delay_(answer_delay),
       server_(loop,
               [this](const HttpRequest& r, std::shared_ptr<HttpExchange> e) {
-                Handle(r, std::move(e));
+                HandleRequest(r, std::move(e));
               }) {}
 
 FakeService::~FakeService() {
-  for (auto& p : pending_) ev_timer_stop(loop_, &p->timer);
+  for (auto& p : pending_calls_) ev_timer_stop(loop_, &p->timer);
 }
 
 absl::Status FakeService::Start() { return server_.Listen(address_, port_); }
 
-void FakeService::Handle(const HttpRequest& req,
-                         std::shared_ptr<HttpExchange> ex) {
+void FakeService::HandleRequest(const HttpRequest& req,
+                                std::shared_ptr<HttpExchange> ex) {
   HeaderList headers = {{"Content-Type", "application/json"}};
   if (req.path == "/stats") {
     json counts = json::object();
     int total = 0;
-    for (const auto& [ticket, n] : executions_) {
+    for (const auto& [ticket, n] : executions_by_ticket_) {
       counts[ticket] = n;
       total += n;
     }
@@ -48,28 +48,29 @@
     ex->Respond(400, headers, R"({"error":"bad request"})");
     return;
   }
-  // The execution happens on receipt: from here on a resend would bill twice.
+  // The request is executed on receipt: from here on a resend would bill twice.
   std::string ticket = body["ticket"].get<std::string>();
-  ++executions_[ticket];
-  auto p = std::make_unique<Pending>(Pending{this, std::move(ex), ticket, {}});
-  ev_timer_init(&p->timer, OnDelay,
-                std::chrono::duration<double>(delay_).count(), 0.);
+  ++executions_by_ticket_[ticket];
+  auto p = std::make_unique<PendingCall>(
+      PendingCall{this, std::move(ex), ticket, {}});
+  ev_timer_init(&p->timer, OnAnswerTimer,
+                std::chrono::duration<double>(answer_delay_).count(), 0.);
   p->timer.data = p.get();
   ev_timer_start(loop_, &p->timer);
-  pending_.push_back(std::move(p));
+  pending_calls_.push_back(std::move(p));
 }
 
-void FakeService::OnDelay(struct ev_loop*, ev_timer* w, int) {
-  auto* p = static_cast<Pending*>(w->data);
-  FakeService* self = p->self;
+void FakeService::OnAnswerTimer(struct ev_loop*, ev_timer* w, int) {
+  auto* p = static_cast<PendingCall*>(w->data);
+  FakeService* service = p->service;
   json out = {{"ticket", p->ticket},
               {"billed", true},
-              {"executions", self->executions_[p->ticket]}};
+              {"executions", service->executions_by_ticket_[p->ticket]}};
   p->exchange->Respond(200, {{"Content-Type", "application/json"}}, out.dump());
-  auto& v = self->pending_;
-  v.erase(std::remove_if(v.begin(), v.end(),
-                         [p](const auto& q) { return q.get() == p; }),
-          v.end());
+  auto& pending = service->pending_calls_;
+  pending.erase(std::remove_if(pending.begin(), pending.end(),
+                               [p](const auto& q) { return q.get() == p; }),
+                pending.end());
 }
 
 }  // namespace medlarwalk
--- a/src/ledger.cc
+++ b/src/ledger.cc
@@ -17,9 +17,9 @@
 
 namespace {
 
-constexpr size_t kCompactMinRecords = 64;
+constexpr size_t kMinRecordsToCompact = 64;
 
-absl::Status WriteAll(int fd, const std::string& data) {
+absl::Status WriteAndSync(int fd, const std::string& data) {
   size_t off = 0;
   while (off < data.size()) {
     ssize_t n = write(fd, data.data() + off, data.size() - off);
@@ -37,14 +37,15 @@
   return absl::OkStatus();
 }
 
-std::string DirOf(const std::string& path) {
+std::string DirectoryOf(const std::string& path) {
   size_t slash = path.rfind('/');
   return slash == std::string::npos ? "." : path.substr(0, slash);
 }
 
-// Takes record `r` over into `entries`; false when it is none.
-bool Replay(const json& r,
-            std::map<std::string, LedgerEntry, std::less<>>* entries) {
+// Applies record `r` to `entries`. Returns false when `r` is not a valid
+// record.
+bool ApplyRecord(const json& r,
+                 std::map<std::string, LedgerEntry, std::less<>>* entries) {
   try {
     std::string key = r.at("k").get<std::string>();
     std::string op = r.at("op").get<std::string>();
@@ -78,12 +79,13 @@
   while (std::getline(in, line)) {
     ++n;
     json r = json::parse(line, nullptr, false);
-    // A torn last line is a write that was never synced, so never promised.
+    // An incomplete last line is a write that was never synced, so no request
+    // was sent or answered because of it.
     if (r.is_discarded() || !r.contains("k") || !r.contains("op")) {
       if (in.peek() == EOF) break;
       return absl::DataLossError(absl::StrCat("ledger ", path_, ": line ", n));
     }
-    if (!Replay(r, &entries_)) {
+    if (!ApplyRecord(r, &entries_)) {
       return absl::DataLossError(absl::StrCat("ledger ", path_, ": line ", n));
     }
     ++log_records_;
@@ -98,18 +100,19 @@
 
 absl::Status Ledger::Append(const std::string& line) {
   if (path_.empty()) return absl::OkStatus();
-  absl::Status s = WriteAll(fd_, line + "\n");
+  absl::Status s = WriteAndSync(fd_, line + "\n");
   if (!s.ok()) return s;
   ++log_records_;
-  if (log_records_ >= kCompactMinRecords &&
+  if (log_records_ >= kMinRecordsToCompact &&
       log_records_ > 2 * entries_.size()) {
     return Compact();
   }
   return absl::OkStatus();
 }
 
-// Writes the live entries to a new file, syncs it, renames it over the log
-// and syncs the folder: a crash at any point leaves either file whole.
+// Writes the live entries to a new file, syncs it, renames it over the log and
+// syncs the directory. A crash at any point leaves either the old or the new
+// file complete.
 absl::Status Ledger::Compact() {
   std::string tmp = path_ + ".tmp";
   int fd = open(tmp.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
@@ -127,13 +130,13 @@
              "\n";
     }
   }
-  absl::Status s = WriteAll(fd, out);
+  absl::Status s = WriteAndSync(fd, out);
   close(fd);
   if (!s.ok()) return s;
   if (rename(tmp.c_str(), path_.c_str()) != 0) {
     return absl::InternalError("ledger compact: rename failed");
   }
-  int dir = open(DirOf(path_).c_str(), O_RDONLY | O_DIRECTORY);
+  int dir = open(DirectoryOf(path_).c_str(), O_RDONLY | O_DIRECTORY);
   if (dir >= 0) {
     fsync(dir);
     close(dir);
@@ -145,19 +148,20 @@
                  : absl::OkStatus();
 }
 
-absl::Status Ledger::Begin(absl::string_view key, uint64_t fingerprint,
-                           LedgerVerdict* verdict, const LedgerEntry** entry) {
+absl::Status Ledger::BeginRequest(absl::string_view key, uint64_t fingerprint,
+                                  LedgerKeyState* key_state,
+                                  const LedgerEntry** entry) {
   auto it = entries_.find(key);
   if (it != entries_.end()) {
     *entry = &it->second;
     if (it->second.fingerprint != fingerprint) {
-      *verdict = LedgerVerdict::kKeyReused;
+      *key_state = LedgerKeyState::kKeyReused;
     } else if (it->second.done) {
-      *verdict = LedgerVerdict::kDone;
-    } else if (started_here_.count(key)) {
-      *verdict = LedgerVerdict::kRunning;
+      *key_state = LedgerKeyState::kCompleted;
+    } else if (started_by_this_process_.count(key)) {
+      *key_state = LedgerKeyState::kRunning;
     } else {
-      *verdict = LedgerVerdict::kUnknown;
+      *key_state = LedgerKeyState::kMayHaveRun;
     }
     return absl::OkStatus();
   }
@@ -166,22 +170,22 @@
       {"k", std::string(key)},
       {"fp", fingerprint}}.dump());
   if (!s.ok()) return s;
-  auto [ins, unused] = entries_.emplace(std::string(key),
-                                        LedgerEntry{fingerprint, false, 0, ""});
-  started_here_.emplace(key);
-  *entry = &ins->second;
-  *verdict = LedgerVerdict::kNew;
+  auto [inserted, unused] = entries_.emplace(
+      std::string(key), LedgerEntry{fingerprint, false, 0, ""});
+  started_by_this_process_.emplace(key);
+  *entry = &inserted->second;
+  *key_state = LedgerKeyState::kNew;
   return absl::OkStatus();
 }
 
-absl::Status Ledger::Complete(absl::string_view key, int http_status,
-                              absl::string_view body) {
+absl::Status Ledger::CompleteRequest(absl::string_view key, int http_status,
+                                     absl::string_view body) {
   auto it = entries_.find(key);
   if (it == entries_.end()) return absl::NotFoundError("ledger: no such key");
   it->second.done = true;
   it->second.http_status = http_status;
   it->second.body = std::string(body);
-  started_here_.erase(std::string(key));
+  started_by_this_process_.erase(std::string(key));
   return Append(json{{"op", "done"},
                      {"k", std::string(key)},
                      {"status", http_status},
@@ -189,9 +193,9 @@
                     .dump());
 }
 
-absl::Status Ledger::Abandon(absl::string_view key) {
+absl::Status Ledger::AbandonRequest(absl::string_view key) {
   entries_.erase(std::string(key));
-  started_here_.erase(std::string(key));
+  started_by_this_process_.erase(std::string(key));
   return Append(json{{"op", "abandon"}, {"k", std::string(key)}}.dump());
 }
 
--- a/src/ledger.h
+++ b/src/ledger.h
@@ -1,9 +1,10 @@
-// The at-most-once ledger: for each idempotency key, whether its request has
-// started and, once done, the answer. A key is recorded (and synced) before
-// the request is sent upstream, so a resend, or a resend after this process
-// restarts, never runs it twice: it gets the stored answer, "still running",
-// or "outcome unknown". Records are JSON lines in one file, compacted into a
-// snapshot when the file grows to twice the live entries.
+// The at-most-once ledger records for each idempotency key whether its request
+// was started and, once completed, the answer. A key is recorded and synced to
+// disk before the request is sent upstream, so a resend never runs the request
+// twice, even after a restart of this process: it gets the stored answer,
+// "still running" or "outcome unknown". Records are JSON lines in one file. The
+// file is compacted into a snapshot when it holds twice as many records as
+// there are live entries.
 #ifndef MEDLARWALK_LEDGER_H_
 #define MEDLARWALK_LEDGER_H_
 
@@ -18,17 +19,17 @@
 
 namespace medlarwalk {
 
-// What Begin found for a key.
-enum class LedgerVerdict {
-  kNew,        // Not seen: recorded as started; the caller sends it.
-  kRunning,    // Started by this process and not done yet.
-  kDone,       // Done: the stored answer is the answer.
-  kUnknown,    // Started before a restart and never finished: it may have
-               // run, so it must not run again.
-  kKeyReused,  // The key was used for a different request body.
+// The state of a key as found by BeginRequest.
+enum class LedgerKeyState {
+  kNew,         // Not in the ledger before; now recorded as started.
+  kRunning,     // Started by this process and not completed yet.
+  kCompleted,   // Completed; the answer is stored.
+  kMayHaveRun,  // Started before a restart and never completed: it may have
+                // run, so it must not run again.
+  kKeyReused,   // The key was used with a different request body.
 };
 
-// One key's record.
+// The record of one key.
 struct LedgerEntry {
   uint64_t fingerprint = 0;  // Hash of the request body.
   bool done = false;
@@ -36,32 +37,34 @@
   std::string body;
 };
 
-// The ledger. Thread safety: loop thread only.
+// The at-most-once ledger. Thread safety: loop thread only.
 class Ledger {
  public:
-  // `path` is the file under the data folder; "" keeps the ledger in memory
-  // only (a host without a disk), which loses it on restart.
+  // `path` is the file in the data directory. "" keeps the ledger in memory
+  // only (a host without a disk); it is then lost on restart.
   explicit Ledger(std::string path);
 
-  // Replays the file. Errors: DataLoss naming the line that cannot be read.
+  // Reads the records in the file. Errors: DataLoss naming the line that cannot
+  // be read; Internal when the file cannot be opened for writing.
   absl::Status Open();
 
-  // Looks the key up and, when new, records it as started durably before
-  // returning. Errors: Internal when the record cannot be synced, in which
-  // case the request must not be sent.
-  absl::Status Begin(absl::string_view key, uint64_t fingerprint,
-                     LedgerVerdict* verdict, const LedgerEntry** entry);
+  // Looks up `key`. A new key is recorded durably as started before the method
+  // returns. Errors: Internal when the record cannot be synced; the request
+  // must then not be sent.
+  absl::Status BeginRequest(absl::string_view key, uint64_t fingerprint,
+                            LedgerKeyState* key_state,
+                            const LedgerEntry** entry);
 
-  // Records the answer of a started key.
-  absl::Status Complete(absl::string_view key, int http_status,
-                        absl::string_view body);
+  // Records the answer to the request of a started key.
+  absl::Status CompleteRequest(absl::string_view key, int http_status,
+                               absl::string_view body);
 
-  // Forgets a started key whose request is known never to have reached the
+  // Removes a started key whose request is known never to have reached the
   // upstream, so that a resend may run it.
-  absl::Status Abandon(absl::string_view key);
+  absl::Status AbandonRequest(absl::string_view key);
 
   size_t size() const { return entries_.size(); }
-  // Records appended since the last compaction.
+  // Returns an upper bound on the number of records in the file.
   size_t log_records() const { return log_records_; }
 
  private:
@@ -70,7 +73,7 @@
 
   std::string path_;
   std::map<std::string, LedgerEntry, std::less<>> entries_;
-  std::set<std::string, std::less<>> started_here_;
+  std::set<std::string, std::less<>> started_by_this_process_;
   size_t log_records_ = 0;
   int fd_ = -1;
 };
--- a/src/load.cc
+++ b/src/load.cc
@@ -20,36 +20,36 @@
 
 namespace {
 
-constexpr char kDone[] = "data: [DONE]";
+constexpr char kEndMarker[] = "data: [DONE]";
 constexpr double kPercentile = 0.95;
-constexpr double kIdleCheckSeconds = 0.05;
+constexpr double kDrainCheckSeconds = 0.05;
 
-// What one request saw.
-struct Outcome {
-  size_t klass = 0;
+// The observations of one request.
+struct RequestOutcome {
+  size_t class_index = 0;
   std::string nonce;
   double sent_at = 0;
   double first_token_at = -1;
-  double last_at = 0;
-  double max_gap = 0;
+  double last_token_at = 0;
+  double max_token_gap = 0;
   int tokens = 0;
-  bool done = false;
-  bool own = true;
+  bool end_marker_seen = false;
+  bool is_own_answer = true;
   int status = 0;
   bool transport_ok = false;
-  std::string buf;
+  std::string unparsed;
 };
 
-double Now(struct ev_loop* loop) { return ev_now(loop); }
+double LoopTime(struct ev_loop* loop) { return ev_now(loop); }
 
-// Reads the events that have fully arrived in `o.buf`.
-void ParseEvents(Outcome& o, double now) {
+// Parses the complete events in `o.unparsed` and removes them from it.
+void ParseReceivedEvents(RequestOutcome& o, double now) {
   size_t end;
-  while ((end = o.buf.find("\n\n")) != std::string::npos) {
-    std::string event = o.buf.substr(0, end);
-    o.buf.erase(0, end + 2);
-    if (absl::StartsWith(event, kDone)) {
-      o.done = true;
+  while ((end = o.unparsed.find("\n\n")) != std::string::npos) {
+    std::string event = o.unparsed.substr(0, end);
+    o.unparsed.erase(0, end + 2);
+    if (absl::StartsWith(event, kEndMarker)) {
+      o.end_marker_seen = true;
       continue;
     }
     if (!absl::StartsWith(event, "data: ")) continue;
@@ -63,16 +63,16 @@
     }
     if (o.tokens == 0) {
       o.first_token_at = now;
-      o.own = absl::StartsWith(content, absl::StrCat("[", o.nonce));
+      o.is_own_answer = absl::StartsWith(content, absl::StrCat("[", o.nonce));
     } else {
-      o.max_gap = std::max(o.max_gap, now - o.last_at);
+      o.max_token_gap = std::max(o.max_token_gap, now - o.last_token_at);
     }
-    o.last_at = now;
+    o.last_token_at = now;
     ++o.tokens;
   }
 }
 
-long long EngineTokens(const std::vector<std::string>& engines) {
+long long SumGeneratedTokens(const std::vector<std::string>& engines) {
   long long total = 0;
   for (const auto& url : engines) {
     CURL* c = curl_easy_init();
@@ -105,11 +105,11 @@
 
 struct Arrival {
   double at;
-  size_t klass;
+  size_t class_index;
 };
 
-// Open-loop arrival times: exponential gaps at the rate in force, so bursts
-// arrive whether or not earlier requests were answered.
+// Returns the arrival times of an open loop: gaps are exponential at the
+// current rate, so bursts arrive whether or not earlier requests were answered.
 std::vector<Arrival> PlanArrivals(const Workload& w) {
   std::mt19937_64 rng(w.seed);
   std::vector<Arrival> out;
@@ -132,10 +132,11 @@
   return out;
 }
 
-// The run: arrivals fire from one timer; answers stream in through curl.
-class Runner {
+// Runs one workload: one timer sends requests at their arrival times, and
+// answers stream in through libcurl.
+class LoadRunner {
  public:
-  explicit Runner(const Workload& w)
+  explicit LoadRunner(const Workload& w)
       : w_(w),
         loop_(ev_loop_new(EVFLAG_AUTO)),
         client_(loop_),
@@ -143,55 +144,57 @@
     ev_timer_init(&timer_, OnTimer, 0., 0.);
     timer_.data = this;
   }
-  ~Runner() { ev_timer_stop(loop_, &timer_); }
+  ~LoadRunner() { ev_timer_stop(loop_, &timer_); }
 
-  std::vector<std::unique_ptr<Outcome>> Run() {
-    start_ = Now(loop_);
-    Arm();
+  std::vector<std::unique_ptr<RequestOutcome>> Run() {
+    start_ = LoopTime(loop_);
+    ScheduleTimer();
     ev_run(loop_, 0);
     return std::move(outcomes_);
   }
 
  private:
-  void Arm() {
-    double now = Now(loop_) - start_;
-    if (next_ < arrivals_.size()) {
-      ev_timer_set(&timer_, std::max(0.0, arrivals_[next_].at - now), 0.);
+  void ScheduleTimer() {
+    double now = LoopTime(loop_) - start_;
+    if (next_arrival_ < arrivals_.size()) {
+      ev_timer_set(&timer_, std::max(0.0, arrivals_[next_arrival_].at - now),
+                   0.);
     } else {
-      ev_timer_set(&timer_, kIdleCheckSeconds, 0.);
+      ev_timer_set(&timer_, kDrainCheckSeconds, 0.);
     }
     ev_timer_start(loop_, &timer_);
   }
 
   static void OnTimer(struct ev_loop* loop, ev_timer* w, int) {
-    auto* self = static_cast<Runner*>(w->data);
-    double now = Now(loop) - self->start_;
-    if (self->next_ >= self->arrivals_.size()) {
+    auto* self = static_cast<LoadRunner*>(w->data);
+    double now = LoopTime(loop) - self->start_;
+    if (self->next_arrival_ >= self->arrivals_.size()) {
       if (self->client_.active() == 0 ||
           now > self->w_.duration_s + self->w_.drain_s) {
         ev_break(loop, EVBREAK_ALL);
         return;
       }
-      self->Arm();
+      self->ScheduleTimer();
       return;
     }
-    while (self->next_ < self->arrivals_.size() &&
-           self->arrivals_[self->next_].at <= now) {
-      self->Send(self->arrivals_[self->next_].klass);
-      ++self->next_;
+    while (self->next_arrival_ < self->arrivals_.size() &&
+           self->arrivals_[self->next_arrival_].at <= now) {
+      self->SendRequest(self->arrivals_[self->next_arrival_].class_index);
+      ++self->next_arrival_;
     }
-    self->Arm();
+    self->ScheduleTimer();
   }
 
-  void Send(size_t k) {
+  void SendRequest(size_t k) {
     const LoadClass& c = w_.classes[k];
-    auto o = std::make_unique<Outcome>();
-    Outcome* op = o.get();
-    o->klass = k;
+    auto o = std::make_unique<RequestOutcome>();
+    RequestOutcome* outcome = o.get();
+    o->class_index = k;
     o->nonce = absl::StrCat("n", outcomes_.size(), "-");
-    o->sent_at = Now(loop_);
+    o->sent_at = LoopTime(loop_);
     std::string shared(static_cast<size_t>(c.prompt_chars), 'x');
-    shared.replace(0, std::min(shared.size(), c.klass.size()), c.klass);
+    shared.replace(0, std::min(shared.size(), c.class_name.size()),
+                   c.class_name);
     json body = {{"model", c.model},
                  {"stream", true},
                  {"max_tokens", c.max_tokens},
@@ -205,17 +208,19 @@
     call.body = body.dump();
     call.headers = {"Content-Type: application/json",
                     absl::StrCat("X-Client-Account: ", c.account),
-                    absl::StrCat("X-Class: ", c.klass)};
+                    absl::StrCat("X-Class: ", c.class_name)};
     call.timeout =
         Millis(static_cast<int64_t>((w_.duration_s + w_.drain_s) * 1000));
-    call.on_status = [op](int s, absl::string_view) { op->status = s; };
-    call.on_data = [this, op](absl::string_view d) {
-      op->buf.append(d.data(), d.size());
-      ParseEvents(*op, Now(loop_));
+    call.on_status = [outcome](int s, absl::string_view) {
+      outcome->status = s;
     };
-    call.on_done = [op](const HttpCallResult& r) {
-      op->transport_ok = r.status.ok();
-      op->status = r.http_status;
+    call.on_data = [this, outcome](absl::string_view d) {
+      outcome->unparsed.append(d.data(), d.size());
+      ParseReceivedEvents(*outcome, LoopTime(loop_));
+    };
+    call.on_done = [outcome](const HttpCallResult& r) {
+      outcome->transport_ok = r.status.ok();
+      outcome->status = r.http_status;
     };
     outcomes_.push_back(std::move(o));
     client_.Start(std::move(call));
@@ -225,10 +230,10 @@
   struct ev_loop* loop_;
   HttpClient client_;
   std::vector<Arrival> arrivals_;
-  size_t next_ = 0;
+  size_t next_arrival_ = 0;
   double start_ = 0;
   ev_timer timer_{};
-  std::vector<std::unique_ptr<Outcome>> outcomes_;
+  std::vector<std::unique_ptr<RequestOutcome>> outcomes_;
 };
 
 double Percentile(std::vector<double> v, double q) {
@@ -256,7 +261,7 @@
     w.seed = j.value("seed", uint64_t{1});
     for (const auto& c : j.at("classes")) {
       LoadClass lc;
-      lc.klass = c.at("class").get<std::string>();
+      lc.class_name = c.at("class").get<std::string>();
       lc.account = c.at("account").get<std::string>();
       lc.model = c.value("model", "ledgerhand");
       lc.rate = c.value("rate", 1.0);
@@ -294,50 +299,52 @@
 }
 
 LoadReport RunLoad(const Workload& w) {
-  long long before = w.engines.empty() ? 0 : EngineTokens(w.engines);
-  Runner runner(w);
-  std::vector<std::unique_ptr<Outcome>> outcomes = runner.Run();
+  long long before = w.engines.empty() ? 0 : SumGeneratedTokens(w.engines);
+  LoadRunner runner(w);
+  std::vector<std::unique_ptr<RequestOutcome>> outcomes = runner.Run();
   LoadReport r;
   std::vector<std::vector<double>> ttft(w.classes.size());
-  for (const auto& c : w.classes) r.classes.push_back(ClassReport{c.klass});
+  for (const auto& c : w.classes)
+    r.classes.push_back(ClassReport{c.class_name});
   for (const auto& o : outcomes) {
-    const LoadClass& c = w.classes[o->klass];
-    ClassReport& cr = r.classes[o->klass];
+    const LoadClass& c = w.classes[o->class_index];
+    ClassReport& cr = r.classes[o->class_index];
     ++cr.sent;
     if (o->status != 200) {
-      ++cr.refused;
+      ++cr.error_answers;
       continue;
     }
-    bool whole = o->transport_ok && o->done && o->tokens == c.max_tokens;
-    if (!whole) {
-      ++cr.cut;
+    bool complete =
+        o->transport_ok && o->end_marker_seen && o->tokens == c.max_tokens;
+    if (!complete) {
+      ++cr.incomplete;
       continue;
     }
-    if (!o->own) {
-      ++cr.crossed;
+    if (!o->is_own_answer) {
+      ++cr.misdelivered;
       continue;
     }
-    ++cr.whole;
+    ++cr.complete;
     r.tokens_delivered += o->tokens;
     double first = o->first_token_at - o->sent_at;
-    ttft[o->klass].push_back(first);
-    bool met =
+    ttft[o->class_index].push_back(first);
+    bool met_targets =
         first <= std::chrono::duration<double>(c.first_token_target).count() &&
-        o->max_gap <=
+        o->max_token_gap <=
             std::chrono::duration<double>(c.between_tokens_target).count();
-    if (met) {
-      ++cr.met;
+    if (met_targets) {
+      ++cr.met_targets;
       cr.goodput_tokens_s += o->tokens / w.duration_s;
     }
   }
   for (size_t k = 0; k < r.classes.size(); ++k) {
     ClassReport& cr = r.classes[k];
-    cr.attainment = cr.sent ? static_cast<double>(cr.met) / cr.sent : 0;
+    cr.attainment = cr.sent ? static_cast<double>(cr.met_targets) / cr.sent : 0;
     cr.p95_first_token_s = Percentile(ttft[k], kPercentile);
     r.goodput_tokens_s += cr.goodput_tokens_s;
   }
   if (!w.engines.empty()) {
-    r.tokens_generated = EngineTokens(w.engines) - before;
+    r.tokens_generated = SumGeneratedTokens(w.engines) - before;
     r.wasted_tokens = std::max(0LL, r.tokens_generated - r.tokens_delivered);
   }
   return r;
@@ -348,10 +355,10 @@
                                     "class", "sent", "whole", "met", "refused",
                                     "cut", "crossed", "attainment", "p95_ttft");
   for (const auto& c : r.classes) {
-    absl::StrAppendFormat(&out,
-                          "%-18s %6d %6d %6d %7d %5d %7d %9.1f%% %8.3fs\n",
-                          c.klass, c.sent, c.whole, c.met, c.refused, c.cut,
-                          c.crossed, 100 * c.attainment, c.p95_first_token_s);
+    absl::StrAppendFormat(
+        &out, "%-18s %6d %6d %6d %7d %5d %7d %9.1f%% %8.3fs\n", c.class_name,
+        c.sent, c.complete, c.met_targets, c.error_answers, c.incomplete,
+        c.misdelivered, 100 * c.attainment, c.p95_first_token_s);
   }
   absl::StrAppendFormat(&out, "goodput %.1f tokens/s", r.goodput_tokens_s);
   if (r.wasted_tokens >= 0) {
@@ -366,13 +373,13 @@
 std::string FormatReportJson(const LoadReport& r) {
   json classes = json::array();
   for (const auto& c : r.classes) {
-    classes.push_back({{"class", c.klass},
+    classes.push_back({{"class", c.class_name},
                        {"sent", c.sent},
-                       {"whole", c.whole},
-                       {"met", c.met},
-                       {"refused", c.refused},
-                       {"cut", c.cut},
-                       {"crossed", c.crossed},
+                       {"whole", c.complete},
+                       {"met", c.met_targets},
+                       {"refused", c.error_answers},
+                       {"cut", c.incomplete},
+                       {"crossed", c.misdelivered},
                        {"attainment", c.attainment},
                        {"p95_first_token_s", c.p95_first_token_s},
                        {"goodput_tokens_s", c.goodput_tokens_s}});
--- a/src/load.h
+++ b/src/load.h
@@ -1,8 +1,8 @@
-// The load tool: an open-loop load from a JSON workload against one or more
-// entries (or an engine directly), reporting for each class its attainment
-// (share of requests answered whole within both latency targets), goodput
-// (tokens a second of such answers) and wasted work (tokens the engines
-// generated that no caller received whole).
+// The load tool: sends an open-loop load, described by a JSON workload, to one
+// or more entries (or directly to an engine). It reports attainment (share of
+// requests answered completely within both latency targets), goodput (tokens
+// per second of such answers) and wasted work (tokens that engines generated
+// but that reached no caller in a complete answer).
 #ifndef MEDLARWALK_LOAD_H_
 #define MEDLARWALK_LOAD_H_
 
@@ -17,19 +17,19 @@
 
 namespace medlarwalk {
 
-// A stretch of time in which a class arrives at another rate.
+// A period in which requests of a class arrive at a different rate.
 struct Burst {
   double start_s = 0;
   double duration_s = 0;
-  double rate = 0;  // Requests a second during the burst.
+  double rate = 0;  // Requests per second during the burst.
 };
 
 // One class of the workload.
 struct LoadClass {
-  std::string klass;
+  std::string class_name;
   std::string account;
   std::string model;
-  double rate = 1;  // Requests a second outside bursts.
+  double rate = 1;  // Requests per second outside bursts.
   int max_tokens = 16;
   int prompt_chars = 200;
   Millis first_token_target{1000};
@@ -37,51 +37,51 @@
   std::vector<Burst> bursts;
 };
 
-// The whole workload.
+// A workload for one run.
 struct Workload {
-  std::vector<std::string> targets;  // Base URLs, used in turn.
-  std::vector<std::string> engines;  // For wasted work: their /stats.
+  std::vector<std::string> targets;  // Base URLs, used round-robin.
+  std::vector<std::string> engines;  // Base URLs; their /stats give the waste.
   double duration_s = 5;
-  double drain_s = 10;  // Time allowed for answers after the end.
+  double drain_s = 10;  // Time to wait for answers after the last request.
   uint64_t seed = 1;
   std::vector<LoadClass> classes;
 };
 
-// Per-class figures of one run.
+// Results of one class in one run.
 struct ClassReport {
-  std::string klass;
+  std::string class_name;
   int sent = 0;
-  int whole = 0;    // Answers complete and the caller's own.
-  int met = 0;      // Whole and within both targets.
-  int refused = 0;  // Answered with an error status.
-  int cut = 0;      // Answers that ended before they were whole.
-  int crossed = 0;  // Answers that were another request's.
+  int complete = 0;       // Complete answers to the right request.
+  int met_targets = 0;    // Complete answers within both targets.
+  int error_answers = 0;  // Requests without a 200 status.
+  int incomplete = 0;     // Answers that ended early.
+  int misdelivered = 0;   // Complete answers to another request.
   double attainment = 0;
   double p95_first_token_s = 0;
   double goodput_tokens_s = 0;
 };
 
-// The figures of one run.
+// Results of one run.
 struct LoadReport {
   std::vector<ClassReport> classes;
   double goodput_tokens_s = 0;
-  long long tokens_generated = -1;  // From the engines; -1 when not asked.
-  long long tokens_delivered = 0;   // In whole answers.
+  long long tokens_generated = -1;  // By all engines; -1: no engines given.
+  long long tokens_delivered = 0;   // In complete answers.
   long long wasted_tokens = -1;
 };
 
-// Parses a workload. Targets and engines may be left out and filled from
-// the settings (FillFromSettings). Errors: InvalidArgument with the reason.
+// Parses a workload. Targets and engines may be left out; FillFromSettings adds
+// them. Errors: InvalidArgument with the reason.
 absl::StatusOr<Workload> ParseWorkload(absl::string_view json_text);
 
-// Fills empty targets with the settings' entries and empty engines with its
-// engine upstreams.
+// Sets empty targets to the entries in the settings and empty engines to the
+// engine upstreams in the settings.
 void FillFromSettings(const Settings& s, Workload& w);
 
-// Runs `w` to the end in its own libev loop and returns the figures.
+// Runs `w` to its end in a libev loop of its own and returns the results.
 LoadReport RunLoad(const Workload& w);
 
-// The report as a table for people and as JSON for tools.
+// Formats the report as a table for people or as JSON for tools.
 std::string FormatReportTable(const LoadReport& r);
 std::string FormatReportJson(const LoadReport& r);
 
--- a/src/own_api.cc
+++ b/src/own_api.cc
@@ -19,16 +19,18 @@
 
 constexpr char kChatPath[] = "/v1/chat/completions";
 constexpr char kServicePrefix[] = "/v1/services/";
-// Upstreams one request may be sent to.
+// Maximum number of upstreams that one request is sent to.
 constexpr int kMaxAttempts = 3;
-// A stream has no end of its own by this interface: this long is a fault.
-constexpr auto kLongestAnswer = std::chrono::minutes(10);
-// Of a prompt, so many first characters make it one to keep at one engine.
-constexpr size_t kPrefixChars = 64;
-// Text to tokens, roughly.
+// This API sets no time limit for streams. An answer that takes this long is
+// treated as a fault.
+constexpr auto kMaxAnswerTime = std::chrono::minutes(10);
+// Prompts that share this many leading characters prefer the same engine
+// (prefix affinity).
+constexpr size_t kAffinityPrefixChars = 64;
+// Approximate, for estimates of prompt lengths.
 constexpr int64_t kCharsPerToken = 4;
 
-absl::string_view PathOf(const MessageHead& head) {
+absl::string_view PathWithoutQuery(const MessageHead& head) {
   absl::string_view target = head.target;
   return target.substr(0, target.find('?'));
 }
@@ -41,29 +43,30 @@
   return absl::StrCat("/service/", name, "/");
 }
 
-// The service of the core that `u` belongs to.
-std::string ServiceOf(const UpstreamSettings& u) {
+// Returns the name of the core's service to which `u` belongs.
+std::string CoreServiceName(const UpstreamSettings& u) {
   if (u.kind != "engine") return u.name;
   std::set<std::string> models(u.models.begin(), u.models.end());
   return absl::StrCat("models:", absl::StrJoin(models, ","));
 }
 
-// What all entries together may send to `u` at once.
-int SlotsOf(const Settings& s, const UpstreamSettings& u) {
+// Returns the number of requests that all entries together may have in flight
+// at `u`.
+int TotalSlots(const Settings& s, const UpstreamSettings& u) {
   auto entries =
       std::count_if(s.hosts.begin(), s.hosts.end(),
                     [](const HostSettings& h) { return h.role == "entry"; });
   return u.max_in_flight * static_cast<int>(entries);
 }
 
-std::string ErrorBody(ErrorKind kind, absl::string_view why) {
-  return json{{"error", {{"code", AnswerFor(kind).code}, {"message", why}}}}
+std::string ErrorBody(ErrorKind kind, absl::string_view reason) {
+  return json{{"error", {{"code", AnswerFor(kind).code}, {"message", reason}}}}
       .dump();
 }
 
-// Checks account and class; returns the class.
-absl::StatusOr<const ClassSettings*> CheckCaller(const Settings& s,
-                                                 const MessageHead& head) {
+// Checks the method, client account and class of a request. Returns the class.
+absl::StatusOr<const ClassSettings*> CheckAccountAndClass(
+    const Settings& s, const MessageHead& head) {
   if (head.method != "POST") {
     return MakeError(ErrorKind::kBadRequest, "only POST is served");
   }
@@ -75,8 +78,9 @@
   }
   std::string klass = head.Value(kHeaderClass);
   const ClassSettings* c = s.FindClass(klass);
-  const auto& open = account->classes;
-  if (!c || std::find(open.begin(), open.end(), klass) == open.end()) {
+  const auto& allowed_classes = account->classes;
+  if (!c || std::find(allowed_classes.begin(), allowed_classes.end(), klass) ==
+                allowed_classes.end()) {
     return MakeError(
         ErrorKind::kUnknownClass,
         absl::StrCat("class '", klass, "' is not open to this account"));
@@ -84,100 +88,102 @@
   return c;
 }
 
-// What an OpenAI-style body says of its request.
-absl::Status ReadChat(const Settings& s, absl::string_view body,
-                      RequestFacts* f) {
+// Reads the body of an OpenAI-style chat request into `facts`.
+absl::Status ReadChatRequest(const Settings& s, absl::string_view body,
+                             RequestFacts* facts) {
   json doc = json::parse(body, nullptr, false);
   if (doc.is_discarded() || !doc.is_object()) {
     return MakeError(ErrorKind::kBadRequest, "body is not a JSON object");
   }
   std::string model;
   if (doc.contains("model") && doc["model"].is_string()) model = doc["model"];
-  bool served = std::any_of(
+  bool model_served = std::any_of(
       s.upstreams.begin(), s.upstreams.end(), [&](const UpstreamSettings& u) {
         return std::find(u.models.begin(), u.models.end(), model) !=
                u.models.end();
       });
-  if (!served) {
+  if (!model_served) {
     return MakeError(ErrorKind::kUnknownModel,
                      absl::StrCat("no upstream serves model '", model, "'"));
   }
-  f->path = ModelPath(model);
+  facts->path = ModelPath(model);
   bool streams = doc.contains("stream") && doc["stream"].is_boolean() &&
                  doc["stream"].get<bool>();
-  f->kind = streams ? RequestKind::kStream : RequestKind::kOnce;
+  facts->kind = streams ? RequestKind::kStream : RequestKind::kOnce;
   if (doc.contains("max_tokens") && doc["max_tokens"].is_number_integer()) {
-    f->most_output_tokens = doc["max_tokens"];
+    facts->most_output_tokens = doc["max_tokens"];
   }
-  int64_t chars = 0;
-  std::string first;
+  int64_t prompt_chars = 0;
+  std::string first_text;
   if (doc.contains("messages") && doc["messages"].is_array()) {
     for (const json& m : doc["messages"]) {
       if (!m.is_object() || !m.contains("content")) continue;
       if (!m["content"].is_string()) continue;
       std::string text = m["content"];
-      if (chars == 0) first = text.substr(0, kPrefixChars);
-      chars += static_cast<int64_t>(text.size());
+      if (prompt_chars == 0) first_text = text.substr(0, kAffinityPrefixChars);
+      prompt_chars += static_cast<int64_t>(text.size());
     }
   }
-  f->prompt_tokens = chars / kCharsPerToken;
-  // One shared part and the request's own.
-  f->parts = {{StableHash(first), f->prompt_tokens}, {0, 0}};
+  facts->prompt_tokens = prompt_chars / kCharsPerToken;
+  // One part shared with other prompts and one part of this request only.
+  facts->parts = {{StableHash(first_text), facts->prompt_tokens}, {0, 0}};
   return absl::OkStatus();
 }
 
-absl::Status ReadService(const Settings& s, absl::string_view path,
-                         RequestFacts* f) {
-  absl::string_view rest = path.substr(sizeof(kServicePrefix) - 1);
-  size_t slash = rest.find('/');
-  absl::string_view name = rest.substr(0, slash);
+absl::Status ReadServiceRequest(const Settings& s, absl::string_view path,
+                                RequestFacts* facts) {
+  absl::string_view name_and_path = path.substr(sizeof(kServicePrefix) - 1);
+  size_t slash = name_and_path.find('/');
+  absl::string_view name = name_and_path.substr(0, slash);
   const UpstreamSettings* u = s.FindUpstream(name);
   if (!u || u->kind != "service" || slash == absl::string_view::npos) {
     return MakeError(ErrorKind::kUnknownModel,
                      absl::StrCat("no plain service '", name, "'"));
   }
-  f->path = ServicePath(name);
-  f->kind = RequestKind::kOnce;
+  facts->path = ServicePath(name);
+  facts->kind = RequestKind::kOnce;
   return absl::OkStatus();
 }
 
 absl::StatusOr<RequestFacts> ReadRequest(const Settings& s,
                                          const MessageHead& head,
                                          absl::string_view body) {
-  absl::StatusOr<const ClassSettings*> c = CheckCaller(s, head);
+  absl::StatusOr<const ClassSettings*> c = CheckAccountAndClass(s, head);
   if (!c.ok()) return c.status();
-  RequestFacts f;
-  f.host = (*c)->name;
-  absl::string_view path = PathOf(head);
-  absl::Status st = path == kChatPath ? ReadChat(s, body, &f)
+  RequestFacts facts;
+  facts.host = (*c)->name;
+  absl::string_view path = PathWithoutQuery(head);
+  absl::Status st = path == kChatPath ? ReadChatRequest(s, body, &facts)
                     : absl::StartsWith(path, kServicePrefix)
-                        ? ReadService(s, path, &f)
+                        ? ReadServiceRequest(s, path, &facts)
                         : MakeError(ErrorKind::kBadRequest, "no such route");
   if (!st.ok()) return st;
   std::string key = head.Value(kHeaderIdempotencyKey);
-  f.repeatable = key.empty() && head.Value(kHeaderNotRepeatable).empty();
-  // The agent that a key leads to keeps the record of what ran under it.
-  if (!key.empty()) f.pinned = std::max<uint64_t>(1, StableHash(key));
+  facts.repeatable = key.empty() && head.Value(kHeaderNotRepeatable).empty();
+  // Requests with the same key go to the same upstream, because its agent's
+  // ledger records whether one of them was started.
+  if (!key.empty()) facts.pinned = std::max<uint64_t>(1, StableHash(key));
   int64_t ms = 0;
   if (absl::SimpleAtoi(head.Value(kHeaderDeadlineMs), &ms) && ms > 0) {
-    f.patience = BoundedMs(static_cast<double>(ms));
+    facts.patience = BoundedMs(static_cast<double>(ms));
   }
-  return f;
+  return facts;
 }
 
-// For the agent beside the upstream; it calls the path named here.
-OutgoingRequest WriteRequest(const MessageHead& head, const ForwardFacts& f,
+// Writes the request for the agent, which calls its upstream at the path
+// written here.
+OutgoingRequest WriteRequest(const MessageHead& head, const ForwardFacts& facts,
                              absl::string_view body) {
   OutgoingRequest out;
   out.method = "POST";
   out.body = body;
-  absl::string_view path = PathOf(head);
+  absl::string_view path = PathWithoutQuery(head);
   if (absl::ConsumePrefix(&path, kServicePrefix)) {
     path = path.substr(path.find('/'));
   }
   out.target = std::string(path);
-  out.headers = {{kH2Upstream, f.upstream_id},
-                 {kH2RequestId, f.id},
+  out.headers = {{kH2Upstream, facts.upstream_id},
+                 {kH2RequestId, facts.id},
                  {"content-type", "application/json"}};
   std::string key = head.Value(kHeaderIdempotencyKey);
   if (!key.empty()) out.headers.emplace_back(kH2IdempotencyKey, key);
@@ -188,16 +194,16 @@
 }
 
 AnswerFacts ReadAnswer(const MessageHead& head) {
-  AnswerFacts f;
+  AnswerFacts facts;
   ErrorKind kind = KindFromCode(head.Value(kH2ErrorKind));
-  f.not_run = kind == ErrorKind::kNotRun || kind == ErrorKind::kDraining ||
-              kind == ErrorKind::kNoUpstream;
-  f.signed_whole = head.Find(kH2ErrorKind) == nullptr;
-  f.upstream_end = head.Value(kH2UpstreamEnd);
-  return f;
+  facts.not_run = kind == ErrorKind::kNotRun || kind == ErrorKind::kDraining ||
+                  kind == ErrorKind::kNoUpstream;
+  facts.signed_whole = head.Find(kH2ErrorKind) == nullptr;
+  facts.upstream_end = head.Value(kH2UpstreamEnd);
+  return facts;
 }
 
-Refusal WriteRefusal(ErrorKind kind, absl::string_view why,
+Refusal WriteRefusal(ErrorKind kind, absl::string_view reason,
                      Duration retry_after) {
   Refusal r;
   r.headers = {{"Content-Type", "application/json"}};
@@ -206,7 +212,7 @@
     r.headers.emplace_back("Retry-After",
                            absl::StrCat(static_cast<int64_t>(seconds)));
   }
-  r.body = ErrorBody(kind, why);
+  r.body = ErrorBody(kind, reason);
   return r;
 }
 
@@ -215,16 +221,17 @@
 Dialect OwnDialect(std::shared_ptr<const Settings> settings,
                    const std::string& entry) {
   Dialect d;
-  auto next = std::make_shared<uint64_t>(0);
-  d.read_request = [settings, entry, next](const MessageHead& head,
-                                           absl::string_view body) {
-    absl::StatusOr<RequestFacts> f = ReadRequest(*settings, head, body);
-    if (f.ok()) f->id = absl::StrCat(entry, "-", ++*next);
-    return f;
+  auto next_request_number = std::make_shared<uint64_t>(0);
+  d.read_request = [settings, entry, next_request_number](
+                       const MessageHead& head, absl::string_view body) {
+    absl::StatusOr<RequestFacts> facts = ReadRequest(*settings, head, body);
+    if (facts.ok())
+      facts->id = absl::StrCat(entry, "-", ++*next_request_number);
+    return facts;
   };
   d.write_request = WriteRequest;
   d.read_answer = ReadAnswer;
-  // What agents say to entries is not for callers.
+  // Agents' headers with this prefix are meant for entries, not for callers.
   d.passes_on = [](absl::string_view name) {
     return !absl::StartsWith(name, "mw-");
   };
@@ -236,15 +243,15 @@
   RoutingConfig c;
   c.version = settings.version;
   c.limits.body_bytes = kMaxBodyBytes;
-  // For each path its services, each weighted by its upstreams.
+  // Services of each path; a service's weight is its number of upstreams.
   std::map<std::string, std::map<std::string, double>> paths;
   for (const UpstreamSettings& u : settings.upstreams) {
-    std::string service = ServiceOf(u);
+    std::string service = CoreServiceName(u);
     ServiceRule& rule = c.services[service];
     rule.name = service;
     rule.max_connections = std::max(rule.max_connections, u.max_in_flight);
     if (u.kind == "engine") {
-      rule.engine = EngineLimits{SlotsOf(settings, u)};
+      rule.engine = EngineLimits{TotalSlots(settings, u)};
       for (const std::string& m : u.models) paths[ModelPath(m)][service] += 1;
     } else {
       paths[ServicePath(u.name)][service] = 1;
@@ -256,7 +263,7 @@
       r.name = absl::StrCat(k.name, path);
       r.host = k.name;
       r.path_prefix = path;
-      r.timeout = kLongestAnswer;
+      r.timeout = kMaxAnswerTime;
       r.latency_target = k.first_token_target;
       r.pause_target = k.between_tokens_target;
       r.tier = k.tier;
@@ -276,10 +283,10 @@
     const HostSettings* agent = settings.FindHost(u.agent);
     UpstreamInfo i;
     i.id = u.name;
-    i.service = ServiceOf(u);
+    i.service = CoreServiceName(u);
     i.address = Endpoint{agent->address, agent->port};
     i.data_centre = agent->data_centre;
-    i.slots = SlotsOf(settings, u);
+    i.slots = TotalSlots(settings, u);
     list.push_back(std::move(i));
   }
   return list;
--- a/src/own_api.h
+++ b/src/own_api.h
@@ -1,6 +1,7 @@
-// The product's own front door: its callers' API (OpenAI-style completions
-// and plain services, accounts and classes by header), its settings file and
-// its agents, put in the core's terms. Nothing here decides.
+// Adapts medlarwalk's own API to the types of the core: the API for callers
+// (OpenAI-style completions and plain services, with account and class in
+// headers), the settings file and the agents. This code makes no routing
+// decisions.
 #ifndef MEDLARWALK_OWN_API_H_
 #define MEDLARWALK_OWN_API_H_
 
@@ -14,16 +15,16 @@
 
 namespace medlarwalk {
 
-// Reads and writes for callers and agents. `entry` names the process in the
-// ids of requests. Precondition: *settings is checked.
+// Returns the functions that read and write the messages of callers and agents.
+// Request ids begin with `entry`. Precondition: *settings has been validated.
 Dialect OwnDialect(std::shared_ptr<const Settings> settings,
                    const std::string& entry);
 
-// Routes of every class to every model and plain service. Engines that serve
-// the same models make one service.
+// Returns the routes from every class to every model and plain service.
+// Engines that serve the same set of models form one service.
 RoutingConfig OwnRouting(const Settings& settings);
 
-// The upstreams as declared, none leaving.
+// Returns the upstreams declared in the settings, none of them draining.
 std::vector<UpstreamInfo> OwnUpstreams(const Settings& settings);
 
 }  // namespace medlarwalk
--- a/test/path_test.cc
+++ b/test/path_test.cc
@@ -1,6 +1,7 @@
-// The brief's promises tested on real processes on 127.0.0.1: whole answers,
-// "not run" only when true, at most once across resends and restarts,
-// planned stops that cut nothing, silent connections replaced.
+// Tests of real processes on 127.0.0.1: answers are complete, "not run" is
+// reported only when true, a request with a key runs at most once across
+// resends and restarts, planned stops interrupt no stream, silent connections
+// are replaced.
 #include <curl/curl.h>
 #include <signal.h>
 #include <sys/stat.h>
@@ -23,18 +24,18 @@
 
 namespace {
 
-// The processes of one test, started from the default settings as changed
-// by the test, and stopped (by their ids) at its end.
+// The processes of one test. They are started with the default settings as
+// edited by the test, and stopped by their process ids at its end.
 struct Fleet {
-  explicit Fleet(const std::function<void(json&)>& change = nullptr)
-      : base(FreeBase()), dir(TempDir()) {
-    json s = json::parse(DefaultSettingsJson(base));
+  explicit Fleet(const std::function<void(json&)>& edit_settings = nullptr)
+      : base_port(FreeBase()), dir(TempDir()) {
+    json s = json::parse(DefaultSettingsJson(base_port));
     s["entry"]["ping_interval_ms"] = 200;
     s["entry"]["ping_timeout_ms"] = 600;
-    if (change) change(s);
-    settings = dir + "/settings.json";
-    std::ofstream(settings) << s.dump(2);
-    doc = s;
+    if (edit_settings) edit_settings(s);
+    settings_path = dir + "/settings.json";
+    std::ofstream(settings_path) << s.dump(2);
+    settings_json = s;
   }
   ~Fleet() {
     for (auto it = pids.rbegin(); it != pids.rend(); ++it) {
@@ -42,63 +43,66 @@
       Stop(it->second, SIGKILL, 2000);
     }
   }
-  void Start(const std::string& name, std::vector<std::string> args) {
-    args.push_back("--settings=" + settings);
+  void StartProcess(const std::string& name, std::vector<std::string> args) {
+    args.push_back("--settings=" + settings_path);
     args.push_back("--log_level=info");
     pids[name] = Spawn(args, dir + "/" + name + ".log");
   }
-  void Engine(int i, int step_ms = 10) {
-    Start(absl::StrCat("engine-", i),
-          {"fake-engine", absl::StrCat("--upstream=ledgerhand-", i),
-           absl::StrCat("--step_ms=", step_ms)});
-    CHECK_TRUE(WaitForPort(base + 39 + i));
+  void StartEngine(int i, int step_ms = 10) {
+    StartProcess(absl::StrCat("engine-", i),
+                 {"fake-engine", absl::StrCat("--upstream=ledgerhand-", i),
+                  absl::StrCat("--step_ms=", step_ms)});
+    CHECK_TRUE(WaitForPort(base_port + 39 + i));
   }
-  void Service(int delay_ms) {
-    Start("service", {"fake-service", "--upstream=scalehouse-1",
-                      absl::StrCat("--delay_ms=", delay_ms)});
-    CHECK_TRUE(WaitForPort(base + 43));
+  void StartService(int delay_ms) {
+    StartProcess("service", {"fake-service", "--upstream=scalehouse-1",
+                             absl::StrCat("--delay_ms=", delay_ms)});
+    CHECK_TRUE(WaitForPort(base_port + 43));
   }
-  void Agent(int i) {
-    Start(absl::StrCat("agent-", i),
-          {"agent", absl::StrCat("--host=agent-", i),
-           absl::StrCat("--data=", dir, "/agent-", i)});
+  void StartAgent(int i) {
+    StartProcess(absl::StrCat("agent-", i),
+                 {"agent", absl::StrCat("--host=agent-", i),
+                  absl::StrCat("--data=", dir, "/agent-", i)});
     mkdir((dir + absl::StrCat("/agent-", i)).c_str(), 0755);
-    CHECK_TRUE(WaitForPort(base + 19 + i));
+    CHECK_TRUE(WaitForPort(base_port + 19 + i));
   }
-  // Two engines (ledgerhand-1 and -2) at `step_ms`, their agents, one entry.
-  void TwoEngines(int step_ms) {
-    Engine(1, step_ms);
-    Engine(2, step_ms);
-    Agent(1);
-    Agent(2);
-    Entry();
+  // Starts two engines (ledgerhand-1 and -2) with this step time, their agents
+  // and one entry.
+  void StartTwoEnginesAndEntry(int step_ms) {
+    StartEngine(1, step_ms);
+    StartEngine(2, step_ms);
+    StartAgent(1);
+    StartAgent(2);
+    StartEntry();
   }
-  // Waits up to `ms` for `name` to exit by itself; true when it did.
-  bool ExitsByItself(const std::string& name, int ms) {
+  // Waits up to `ms` for process `name` to exit by itself. Returns true when it
+  // did.
+  bool WaitForOwnExit(const std::string& name, int ms) {
     bool exited = Stop(pids[name], 0, ms);
     if (exited) pids.erase(name);
     return exited;
   }
-  void Entry() {
-    Start("entry", {"entry", "--host=entry-1"});
-    CHECK_TRUE(WaitForPort(base + 10));
+  void StartEntry() {
+    StartProcess("entry", {"entry", "--host=entry-1"});
+    CHECK_TRUE(WaitForPort(base_port + 10));
   }
   std::string EntryUrl() const {
-    return absl::StrCat("http://127.0.0.1:", base + 10);
+    return absl::StrCat("http://127.0.0.1:", base_port + 10);
   }
   std::string EngineUrl(int i) const {
-    return absl::StrCat("http://127.0.0.1:", base + 39 + i);
+    return absl::StrCat("http://127.0.0.1:", base_port + 39 + i);
   }
 
-  int base;
+  int base_port;
   std::string dir;
-  std::string settings;
-  json doc;
+  std::string settings_path;
+  json settings_json;
   std::map<std::string, pid_t> pids;
 };
 
-// Keeps only the named upstreams (the agents beside them still start).
-std::function<void(json&)> OnlyUpstreams(std::vector<std::string> names) {
+// Returns an edit of the settings that keeps only the named upstreams. The
+// agents of the other upstreams can still be started.
+std::function<void(json&)> KeepOnlyUpstreams(std::vector<std::string> names) {
   return [names](json& s) {
     json kept = json::array();
     for (const auto& u : s["upstreams"]) {
@@ -110,15 +114,15 @@
   };
 }
 
-// Runs `fn` on a thread after `ms`: a fault injected mid-request.
-std::thread Later(int ms, std::function<void()> fn) {
+// Runs `fn` on a thread after `ms`, to inject a fault during a request.
+std::thread RunAfterDelay(int ms, std::function<void()> fn) {
   return std::thread([ms, fn] {
     std::this_thread::sleep_for(std::chrono::milliseconds(ms));
     fn();
   });
 }
 
-std::string Chat(const std::string& nonce, int tokens) {
+std::string ChatBody(const std::string& nonce, int tokens) {
   return json{{"model", "ledgerhand"},
               {"stream", true},
               {"max_tokens", tokens},
@@ -126,20 +130,21 @@
       .dump();
 }
 
-const std::vector<std::string> kGate = {"X-Client-Account: pit-a-scalehouse",
-                                        "X-Class: gate-release"};
+const std::vector<std::string> kGateReleaseHeaders = {
+    "X-Client-Account: pit-a-scalehouse", "X-Class: gate-release"};
 
-std::vector<std::string> Billing(const std::string& key) {
+std::vector<std::string> BillingHeaders(const std::string& key) {
   return {"X-Client-Account: pit-a-scalehouse", "X-Class: gate-release",
           "Idempotency-Key: " + key, "Content-Type: application/json"};
 }
 
-int Executions(const Fleet& f) {
-  Reply r = Get(absl::StrCat("http://127.0.0.1:", f.base + 43, "/stats"));
+int CountExecutions(const Fleet& f) {
+  HttpReply r =
+      Get(absl::StrCat("http://127.0.0.1:", f.base_port + 43, "/stats"));
   return json::parse(r.body).value("executions", -1);
 }
 
-bool Whole(const Reply& r, const std::string& nonce) {
+bool IsCompleteAnswer(const HttpReply& r, const std::string& nonce) {
   return r.curl_code == 0 && r.status == 200 &&
          absl::StrContains(r.body, "[" + nonce) &&
          absl::StrContains(r.body, "data: [DONE]");
@@ -149,20 +154,21 @@
 
 TEST_GROUP(path){};
 
-// Symptom: engines end one after the other. Sequence: a request ends the engine
-// that runs it; its caller sends it again, and so on. Cause: nothing outlived
-// its answer. The engine here ends while it reads that prompt, once for each
-// sending as there is no other to go to; the fourth sending is refused as not
-// run, and another request is served.
-TEST(path, ARequestThatEndsEnginesIsRefused) {
-  constexpr int kStepMs = 1000;  // Nothing is answered before the end.
-  Fleet f(OnlyUpstreams({"ledgerhand-1"}));
-  f.Engine(1, kStepMs);
-  f.Agent(1);
-  f.Entry();
-  const std::string deadly = Chat("deadly", 8);
+// Failure: a crash-inducing request terminates one engine after another,
+// because its caller resends it and no process remembers the crashes. Here the
+// only engine is killed during the prefill of each of the first three sends.
+// The fourth send must be rejected as not run, and another request must be
+// served.
+TEST(path, CrashInducingRequestIsQuarantined) {
+  // The engine is killed before it sends a token.
+  constexpr int kStepMs = 1000;
+  Fleet f(KeepOnlyUpstreams({"ledgerhand-1"}));
+  f.StartEngine(1, kStepMs);
+  f.StartAgent(1);
+  f.StartEntry();
+  const std::string crash_inducing_body = ChatBody("deadly", 8);
   for (int i = 0; i < 3; ++i) {
-    std::thread end([&] {
+    std::thread engine_killer([&] {
       for (int k = 0; k < 500; ++k) {
         json stats =
             json::parse(Get(f.EngineUrl(1) + "/stats").body, nullptr, false);
@@ -171,41 +177,42 @@
       }
       Stop(f.pids["engine-1"], SIGKILL, 2000);
     });
-    Reply r = Post(f.EntryUrl() + "/v1/chat/completions", deadly, kGate);
-    end.join();
+    HttpReply r = Post(f.EntryUrl() + "/v1/chat/completions",
+                       crash_inducing_body, kGateReleaseHeaders);
+    engine_killer.join();
     LONGS_EQUAL(502, r.status);
-    f.Engine(1, kStepMs);
+    f.StartEngine(1, kStepMs);
   }
-  Reply r = Post(f.EntryUrl() + "/v1/chat/completions", deadly, kGate);
+  HttpReply r = Post(f.EntryUrl() + "/v1/chat/completions", crash_inducing_body,
+                     kGateReleaseHeaders);
   LONGS_EQUAL(503, r.status);
   CHECK_TRUE(absl::StrContains(r.body, "quarantined"));
-  // The engine is put aside for seconds after three failures in a row.
+  // The engine is ejected for seconds after three consecutive failures.
   bool served = false;
   for (int k = 0; k < 20 && !served; ++k) {
     std::this_thread::sleep_for(std::chrono::milliseconds(500));
-    Reply other =
-        Post(f.EntryUrl() + "/v1/chat/completions", Chat("other", 2), kGate);
-    served = Whole(other, "other");
+    HttpReply other = Post(f.EntryUrl() + "/v1/chat/completions",
+                           ChatBody("other", 2), kGateReleaseHeaders);
+    served = IsCompleteAnswer(other, "other");
   }
   CHECK_TRUE(served);
 }
 
-// Symptom: a caller gets another caller's answer, or a short one passed as
-// whole. Sequence: many streamed requests at once through two hops.
-// Cause: streams mixed up or ended early. Each answer is checked for its
-// own nonce, its full token count and the end marker.
-TEST(path, ConcurrentAnswersAreWholeAndTheirOwn) {
+// Failure: under many concurrent streams through two hops, a caller gets
+// another caller's answer or a truncated answer that looks complete. Each
+// answer is checked for its own nonce, its full token count and the end marker.
+TEST(path, ConcurrentAnswersAreCompleteAndNotMixedUp) {
   Fleet f;
-  for (int i = 1; i <= 3; ++i) f.Engine(i);
-  for (int i = 1; i <= 3; ++i) f.Agent(i);
-  f.Entry();
+  for (int i = 1; i <= 3; ++i) f.StartEngine(i);
+  for (int i = 1; i <= 3; ++i) f.StartAgent(i);
+  f.StartEntry();
   Workload w;
   w.targets = {f.EntryUrl()};
   w.engines = {f.EngineUrl(1), f.EngineUrl(2), f.EngineUrl(3)};
   w.duration_s = 2;
   w.drain_s = 10;
   LoadClass c;
-  c.klass = "gate-release";
+  c.class_name = "gate-release";
   c.account = "pit-a-scalehouse";
   c.model = "ledgerhand";
   c.rate = 60;
@@ -215,153 +222,159 @@
   w.classes = {c};
   LoadReport r = RunLoad(w);
   CHECK(r.classes[0].sent > 50);
-  CHECK_EQUAL(r.classes[0].sent, r.classes[0].whole);
-  CHECK_EQUAL(0, r.classes[0].crossed);
-  CHECK_EQUAL(0, r.classes[0].cut);
+  CHECK_EQUAL(r.classes[0].sent, r.classes[0].complete);
+  CHECK_EQUAL(0, r.classes[0].misdelivered);
+  CHECK_EQUAL(0, r.classes[0].incomplete);
   CHECK_EQUAL(0LL, r.wasted_tokens);
 }
 
-// Symptom: the caller's stream ends cleanly though the engine died half
-// way, so a cut answer passes for a whole one. Sequence: engine killed
-// mid-stream. Cause: relaying the end of a broken upstream stream as a
-// normal end. The entry must abort the caller's connection instead.
-TEST(path, EngineKilledMidStreamIsAVisibleCut) {
-  Fleet f(OnlyUpstreams({"ledgerhand-1"}));
-  f.Engine(1, 50);
-  f.Agent(1);
-  f.Entry();
-  std::thread killer = Later(600, [&] { Stop(f.pids["engine-1"], SIGKILL); });
-  Reply r =
-      Post(f.EntryUrl() + "/v1/chat/completions", Chat("cut-me", 60), kGate);
+// Failure: an engine is killed mid-stream and the end of its broken stream is
+// relayed as a normal end, so the caller takes a truncated answer for a
+// complete one. The entry must abort the caller's connection instead.
+TEST(path, EngineKilledMidStreamAbortsCallerConnection) {
+  Fleet f(KeepOnlyUpstreams({"ledgerhand-1"}));
+  f.StartEngine(1, 50);
+  f.StartAgent(1);
+  f.StartEntry();
+  std::thread killer =
+      RunAfterDelay(600, [&] { Stop(f.pids["engine-1"], SIGKILL); });
+  HttpReply r = Post(f.EntryUrl() + "/v1/chat/completions",
+                     ChatBody("cut-me", 60), kGateReleaseHeaders);
   killer.join();
-  CHECK(absl::StrContains(r.body, "[cut-me"));  // It had started.
+  CHECK(absl::StrContains(r.body, "[cut-me"));  // The stream had started.
   CHECK_FALSE(absl::StrContains(r.body, "data: [DONE]"));
-  CHECK(r.curl_code != 0);  // Not a clean end: the caller knows it is cut.
+  CHECK(r.curl_code != 0);  // The caller sees that the answer is not complete.
 }
 
-// Symptom: a caller told "not run" resends and the ticket bills twice.
-// Sequence: agent killed while the service is executing the call.
-// Cause: saying "not run" for any failure. Only a connection never made
-// may be called "not run"; here the answer must be "outcome unknown".
-TEST(path, NotRunIsSaidOnlyWhenTrue) {
-  Fleet f(OnlyUpstreams({"scalehouse-1"}));
-  f.Agent(4);
-  f.Entry();
-  // Service down: the agent cannot connect, so it provably did not run.
-  Reply down = Post(f.EntryUrl() + "/v1/services/scalehouse-1/bill",
-                    R"({"ticket":"T-1"})", Billing("k-down"));
+// Failure: the agent is killed while the service executes a call, the caller
+// gets "not run", resends, and the ticket is billed twice. "not run" may be
+// reported only when no connection was made; here the answer must be "outcome
+// unknown".
+TEST(path, NotRunIsReportedOnlyIfNeverSent) {
+  Fleet f(KeepOnlyUpstreams({"scalehouse-1"}));
+  f.StartAgent(4);
+  f.StartEntry();
+  // The service is not running: the agent cannot connect, so the request
+  // provably did not run.
+  HttpReply down = Post(f.EntryUrl() + "/v1/services/scalehouse-1/bill",
+                        R"({"ticket":"T-1"})", BillingHeaders("k-down"));
   CHECK_EQUAL(503, down.status);
   CHECK(absl::StrContains(down.body, "not_run"));
   CHECK_FALSE(down.headers["retry-after"].empty());
-  f.Service(800);
-  std::thread killer = Later(300, [&] { Stop(f.pids["agent-4"], SIGKILL); });
-  Reply lost = Post(f.EntryUrl() + "/v1/services/scalehouse-1/bill",
-                    R"({"ticket":"T-2"})", Billing("k-lost"));
+  f.StartService(800);
+  std::thread killer =
+      RunAfterDelay(300, [&] { Stop(f.pids["agent-4"], SIGKILL); });
+  HttpReply lost = Post(f.EntryUrl() + "/v1/services/scalehouse-1/bill",
+                        R"({"ticket":"T-2"})", BillingHeaders("k-lost"));
   killer.join();
   CHECK_FALSE(absl::StrContains(lost.body, "not_run"));
   CHECK_EQUAL(502, lost.status);
-  CHECK_EQUAL(1, Executions(f));
-  // Now the service dies mid-call while the agent lives: the agent itself
-  // must not call that "not run" either.
-  f.Agent(4);
-  // The entry backs off from an agent that just died; wait (bounded) until a
-  // call goes through the new one, so the cut below lands mid-call.
-  Reply warm;
+  CHECK_EQUAL(1, CountExecutions(f));
+  // The service is killed during a call while the agent keeps running: the
+  // agent must not report "not run" for this failure either.
+  f.StartAgent(4);
+  // The entry backs off from an agent that was just killed. Retries, a bounded
+  // number of times, until a call passes through the new agent, so that the
+  // service below is killed during a call.
+  HttpReply warm;
   for (int i = 0; i < 20 && warm.status != 200; ++i) {
     warm = Post(f.EntryUrl() + "/v1/services/scalehouse-1/bill",
-                R"({"ticket":"W"})", Billing("k-warm"));
+                R"({"ticket":"W"})", BillingHeaders("k-warm"));
   }
   CHECK_EQUAL(200, warm.status);
-  int before = Executions(f);
+  int before = CountExecutions(f);
   std::thread service_killer =
-      Later(300, [&] { Stop(f.pids["service"], SIGKILL); });
-  Reply cut = Post(f.EntryUrl() + "/v1/services/scalehouse-1/bill",
-                   R"({"ticket":"T-3"})", Billing("k-cut"));
+      RunAfterDelay(300, [&] { Stop(f.pids["service"], SIGKILL); });
+  HttpReply cut = Post(f.EntryUrl() + "/v1/services/scalehouse-1/bill",
+                       R"({"ticket":"T-3"})", BillingHeaders("k-cut"));
   service_killer.join();
-  CHECK_EQUAL(2, before);  // T-2 and W ran once each; T-3 is about to.
+  CHECK_EQUAL(2, before);  // T-2 and W ran once each, before T-3.
   CHECK_FALSE(absl::StrContains(cut.body, "not_run"));
   CHECK_EQUAL(502, cut.status);
 }
 
-// Symptom: a rating adjustment applied twice. Sequence: caller loses the
-// answer and resends; later the agent is killed mid-call, restarted with
-// its data folder, and the caller resends again. Cause: no durable record
-// of the key. Each resend gets the stored answer or "outcome unknown".
-TEST(path, NotRepeatableRunsOnceAcrossResendAndRestart) {
-  Fleet f(OnlyUpstreams({"scalehouse-1"}));
-  f.Service(600);
-  f.Agent(4);
-  f.Entry();
+// Failure: a non-repeatable request runs twice because its key is not recorded
+// durably: the caller loses the answer and resends, or the agent is killed
+// during the call, restarted with its data directory, and the caller resends.
+// Each resend must get the stored answer or "outcome unknown".
+TEST(path, NonRepeatableRequestRunsOnceAcrossResendAndRestart) {
+  Fleet f(KeepOnlyUpstreams({"scalehouse-1"}));
+  f.StartService(600);
+  f.StartAgent(4);
+  f.StartEntry();
   std::string url = f.EntryUrl() + "/v1/services/scalehouse-1/bill";
-  Reply first = Post(url, R"({"ticket":"A"})", Billing("adj-A"));
+  HttpReply first = Post(url, R"({"ticket":"A"})", BillingHeaders("adj-A"));
   CHECK_EQUAL(200, first.status);
-  Reply again = Post(url, R"({"ticket":"A"})", Billing("adj-A"));
+  HttpReply again = Post(url, R"({"ticket":"A"})", BillingHeaders("adj-A"));
   CHECK_EQUAL(200, again.status);
   STRCMP_EQUAL(first.body.c_str(), again.body.c_str());
-  std::thread killer = Later(200, [&] { Stop(f.pids["agent-4"], SIGKILL); });
-  Post(url, R"({"ticket":"B"})", Billing("adj-B"));
+  std::thread killer =
+      RunAfterDelay(200, [&] { Stop(f.pids["agent-4"], SIGKILL); });
+  Post(url, R"({"ticket":"B"})", BillingHeaders("adj-B"));
   killer.join();
-  f.Agent(4);
-  std::this_thread::sleep_for(std::chrono::milliseconds(800));  // Let B end.
-  Reply resend = Post(url, R"({"ticket":"B"})", Billing("adj-B"));
+  f.StartAgent(4);
+  std::this_thread::sleep_for(std::chrono::milliseconds(800));  // B completes.
+  HttpReply resend = Post(url, R"({"ticket":"B"})", BillingHeaders("adj-B"));
   CHECK(resend.status == 502 || resend.status == 409);
-  Reply resend_a = Post(url, R"({"ticket":"A"})", Billing("adj-A"));
+  HttpReply resend_a = Post(url, R"({"ticket":"A"})", BillingHeaders("adj-A"));
   STRCMP_EQUAL(first.body.c_str(), resend_a.body.c_str());
-  CHECK_EQUAL(2, Executions(f));  // A once, B once.
+  CHECK_EQUAL(2, CountExecutions(f));  // A once, B once.
 }
 
-// Symptom: a planned stop cuts answers in progress, or the stopping agent
-// keeps getting work. Sequence: SIGTERM to an agent during a long stream.
-// Cause: exiting at once. The agent drains: the stream ends whole, new
-// requests go to the other upstream, then the agent exits by itself.
-TEST(path, PlannedStopCutsNothingAndTakesNoNewWork) {
-  Fleet f(OnlyUpstreams({"ledgerhand-1", "ledgerhand-2"}));
-  f.TwoEngines(40);
+// Failure: agents that get SIGTERM during a long stream exit at once and
+// interrupt the stream, or keep getting new requests. Agents must drain: the
+// stream completes, new requests are rejected, and the agents exit by
+// themselves.
+TEST(path, PlannedStopFinishesStreamsAndRejectsNewRequests) {
+  Fleet f(KeepOnlyUpstreams({"ledgerhand-1", "ledgerhand-2"}));
+  f.StartTwoEnginesAndEntry(40);
   std::thread stopper([&] {
     std::this_thread::sleep_for(std::chrono::milliseconds(400));
     kill(f.pids["agent-1"], SIGTERM);
-    kill(f.pids["agent-2"], SIGTERM);  // Both: whichever holds the stream.
+    kill(f.pids["agent-2"], SIGTERM);  // Either agent may carry the stream.
   });
-  Reply r =
-      Post(f.EntryUrl() + "/v1/chat/completions", Chat("drain", 40), kGate);
+  HttpReply r = Post(f.EntryUrl() + "/v1/chat/completions",
+                     ChatBody("drain", 40), kGateReleaseHeaders);
   stopper.join();
-  CHECK_TRUE(Whole(r, "drain"));
-  CHECK_TRUE(f.ExitsByItself("agent-1", 5000));
-  CHECK_TRUE(f.ExitsByItself("agent-2", 5000));
-  Reply after =
-      Post(f.EntryUrl() + "/v1/chat/completions", Chat("after", 4), kGate);
-  CHECK_EQUAL(503, after.status);  // Both left: refused at once, not hung.
+  CHECK_TRUE(IsCompleteAnswer(r, "drain"));
+  CHECK_TRUE(f.WaitForOwnExit("agent-1", 5000));
+  CHECK_TRUE(f.WaitForOwnExit("agent-2", 5000));
+  HttpReply after = Post(f.EntryUrl() + "/v1/chat/completions",
+                         ChatBody("after", 4), kGateReleaseHeaders);
+  // Both agents have stopped: the request is rejected at once and does not
+  // hang.
+  CHECK_EQUAL(503, after.status);
   CHECK_FALSE(after.headers["retry-after"].empty());
 }
 
-// Symptom: requests hang on a connection that went silent while new
-// connections work. Sequence: the agent holding a stream is frozen
-// (SIGSTOP). Cause: TCP sees nothing wrong. The entry's PING times out,
-// the stream is answered as cut, and new requests go to the other agent.
-TEST(path, FrozenAgentConnectionIsDetectedAndAvoided) {
-  Fleet f(OnlyUpstreams({"ledgerhand-1", "ledgerhand-2"}));
-  f.TwoEngines(30);
+// Failure: requests hang on a silent connection, because TCP detects no error
+// when the agent that carries a stream is frozen (SIGSTOP). The entry's PING
+// must time out, the caller's connection must be aborted, and new requests must
+// go to the other agent.
+TEST(path, FrozenAgentIsDetectedAndAvoided) {
+  Fleet f(KeepOnlyUpstreams({"ledgerhand-1", "ledgerhand-2"}));
+  f.StartTwoEnginesAndEntry(30);
   pid_t frozen = 0;
   std::thread freezer([&] {
     std::this_thread::sleep_for(std::chrono::milliseconds(400));
     for (int i = 1; i <= 2; ++i) {
-      Reply s = Get(f.EngineUrl(i) + "/stats");
+      HttpReply s = Get(f.EngineUrl(i) + "/stats");
       if (json::parse(s.body).value("running", 0) > 0) {
         frozen = f.pids[absl::StrCat("agent-", i)];
         kill(frozen, SIGSTOP);
       }
     }
   });
-  Reply r = Post(f.EntryUrl() + "/v1/chat/completions", Chat("frozen", 100),
-                 kGate, 8000);
+  HttpReply r = Post(f.EntryUrl() + "/v1/chat/completions",
+                     ChatBody("frozen", 100), kGateReleaseHeaders, 8000);
   freezer.join();
   CHECK(frozen != 0);
-  // Cut visibly by the entry's ping timeout, not by the caller giving up
-  // after its own 8 s (curl's code 28).
+  // The entry's ping timeout ends the connection, not the caller's own timeout
+  // of 8 s (curl's code 28).
   CHECK(r.curl_code != 0);
   CHECK(r.curl_code != CURLE_OPERATION_TIMEDOUT);
-  Reply next =
-      Post(f.EntryUrl() + "/v1/chat/completions", Chat("next", 4), kGate);
+  HttpReply next = Post(f.EntryUrl() + "/v1/chat/completions",
+                        ChatBody("next", 4), kGateReleaseHeaders);
   CHECK_EQUAL(0, next.curl_code);
   CHECK_EQUAL(200, next.status);
   STRCMP_CONTAINS("[next", next.body.c_str());
--- a/test/procs.cc
+++ b/test/procs.cc
@@ -19,14 +19,14 @@
 
 namespace {
 
-constexpr int kPollMs = 20;
+constexpr int kPollIntervalMs = 20;
 
-size_t Collect(char* p, size_t s, size_t n, void* u) {
+size_t AppendBody(char* p, size_t s, size_t n, void* u) {
   static_cast<std::string*>(u)->append(p, s * n);
   return s * n;
 }
 
-size_t CollectHeader(char* p, size_t s, size_t n, void* u) {
+size_t AppendHeader(char* p, size_t s, size_t n, void* u) {
   std::string line(p, s * n);
   size_t colon = line.find(':');
   if (colon != std::string::npos) {
@@ -40,10 +40,11 @@
   return s * n;
 }
 
-Reply Call(const std::string& method, const std::string& url,
-           const std::string& body, const std::vector<std::string>& headers,
-           int timeout_ms) {
-  Reply r;
+HttpReply PerformRequest(const std::string& method, const std::string& url,
+                         const std::string& body,
+                         const std::vector<std::string>& headers,
+                         int timeout_ms) {
+  HttpReply r;
   CURL* c = curl_easy_init();
   curl_slist* list = nullptr;
   for (const auto& h : headers) list = curl_slist_append(list, h.c_str());
@@ -54,9 +55,9 @@
   }
   curl_easy_setopt(c, CURLOPT_HTTPHEADER, list);
   curl_easy_setopt(c, CURLOPT_TIMEOUT_MS, static_cast<long>(timeout_ms));
-  curl_easy_setopt(c, CURLOPT_WRITEFUNCTION, &Collect);
+  curl_easy_setopt(c, CURLOPT_WRITEFUNCTION, &AppendBody);
   curl_easy_setopt(c, CURLOPT_WRITEDATA, &r.body);
-  curl_easy_setopt(c, CURLOPT_HEADERFUNCTION, &CollectHeader);
+  curl_easy_setopt(c, CURLOPT_HEADERFUNCTION, &AppendHeader);
   curl_easy_setopt(c, CURLOPT_HEADERDATA, &r.headers);
   curl_easy_setopt(c, CURLOPT_NOSIGNAL, 1L);
   r.curl_code = curl_easy_perform(c);
@@ -96,9 +97,9 @@
 bool Stop(pid_t pid, int sig, int wait_ms) {
   kill(pid, sig);
   if (sig == SIGSTOP || sig == SIGCONT) return false;
-  for (int waited = 0; waited <= wait_ms; waited += kPollMs) {
+  for (int waited = 0; waited <= wait_ms; waited += kPollIntervalMs) {
     if (waitpid(pid, nullptr, WNOHANG) == pid) return true;
-    std::this_thread::sleep_for(std::chrono::milliseconds(kPollMs));
+    std::this_thread::sleep_for(std::chrono::milliseconds(kPollIntervalMs));
   }
   kill(pid, SIGKILL);
   waitpid(pid, nullptr, 0);
@@ -106,7 +107,7 @@
 }
 
 bool WaitForPort(int port, int ms) {
-  for (int waited = 0; waited <= ms; waited += kPollMs) {
+  for (int waited = 0; waited <= ms; waited += kPollIntervalMs) {
     int fd = socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in a{};
     a.sin_family = AF_INET;
@@ -115,18 +116,18 @@
     bool ok = connect(fd, reinterpret_cast<sockaddr*>(&a), sizeof(a)) == 0;
     close(fd);
     if (ok) return true;
-    std::this_thread::sleep_for(std::chrono::milliseconds(kPollMs));
+    std::this_thread::sleep_for(std::chrono::milliseconds(kPollIntervalMs));
   }
   return false;
 }
 
-Reply Post(const std::string& url, const std::string& body,
-           const std::vector<std::string>& headers, int timeout_ms) {
-  return Call("POST", url, body, headers, timeout_ms);
+HttpReply Post(const std::string& url, const std::string& body,
+               const std::vector<std::string>& headers, int timeout_ms) {
+  return PerformRequest("POST", url, body, headers, timeout_ms);
 }
 
-Reply Get(const std::string& url, int timeout_ms) {
-  return Call("GET", url, "", {}, timeout_ms);
+HttpReply Get(const std::string& url, int timeout_ms) {
+  return PerformRequest("GET", url, "", {}, timeout_ms);
 }
 
 std::string TempDir() {
@@ -136,22 +137,22 @@
 
 int FreeBase() {
   // Below the kernel's ephemeral range (32768 and up), so that no outgoing
-  // connection can hold a port a test wants to listen on.
+  // connection holds a port on which a test wants to listen.
   constexpr int kFirst = 20000;
   constexpr int kBases = 240;
   static int next = static_cast<int>(getpid());
   for (int tries = 0; tries < kBases; ++tries) {
-    int base = kFirst + (next++ % kBases) * kPortsEach;
+    int base_port = kFirst + (next++ % kBases) * kPortsPerRange;
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     sockaddr_in a{};
     a.sin_family = AF_INET;
-    a.sin_port = htons(static_cast<uint16_t>(base + kPortsEach - 1));
+    a.sin_port = htons(static_cast<uint16_t>(base_port + kPortsPerRange - 1));
     inet_pton(AF_INET, "127.0.0.1", &a.sin_addr);
-    // Held to the end of the process: two test processes that took the same
-    // ports would reach each other's servers.
+    // Listens until the process ends: two test processes with the same ports
+    // would reach each other's servers.
     if (bind(fd, reinterpret_cast<sockaddr*>(&a), sizeof(a)) == 0 &&
         listen(fd, 1) == 0) {
-      return base;
+      return base_port;
     }
     close(fd);
   }
--- a/test/procs.h
+++ b/test/procs.h
@@ -1,6 +1,6 @@
-// Small helpers for tests that run the real binary as separate processes on
+// Helpers for tests that run the real binary as separate processes on
 // 127.0.0.1: start a role, signal it, wait for a port, make one HTTP call.
-// Scaffolding only; every bound here is a count or a timeout, not an assert.
+// Bounds in these helpers are counts and timeouts, not assertions.
 #ifndef MEDLARWALK_TEST_PROCS_H_
 #define MEDLARWALK_TEST_PROCS_H_
 
@@ -12,43 +12,47 @@
 
 namespace medlarwalk::testing {
 
-// The binary under test: $MEDLARWALK_BIN, or `medlarwalk` beside this program.
+// Returns the path of the binary under test: $MEDLARWALK_BIN, or `medlarwalk`
+// in the directory of this program.
 std::string BinaryPath();
 
-// Starts `medlarwalk ARGS...`, its output appended to `log`. Returns the
-// process id.
-// `env`: lines "NAME=value" added to its environment.
+// Starts `medlarwalk ARGS...` with its output appended to the file `log` and
+// `env` ("NAME=value" each) added to its environment. Returns the process id.
 pid_t Spawn(const std::vector<std::string>& args, const std::string& log,
             const std::vector<std::string>& env = {});
 
-// Sends `sig` and, for ending signals, waits up to `wait_ms` for the exit.
-// Returns true when the process has exited.
+// Sends `sig` to the process. For signals other than SIGSTOP and SIGCONT, waits
+// up to `wait_ms` for it to exit, then kills it. Returns true when the process
+// exited within this time.
 bool Stop(pid_t pid, int sig, int wait_ms = 5000);
 
-// Waits up to `ms` until something accepts on 127.0.0.1:`port`.
+// Waits up to `ms` until a process accepts connections on 127.0.0.1:`port`.
+// Returns false on timeout.
 bool WaitForPort(int port, int ms = 5000);
 
-// One finished HTTP call.
-struct Reply {
+// The result of one HTTP call.
+struct HttpReply {
   int curl_code = 0;  // 0 when the transfer ended cleanly.
   long status = 0;
   std::string body;
-  std::map<std::string, std::string> headers;  // Names lower case.
+  std::map<std::string, std::string> headers;  // Names are in lower case.
 };
 
-// POSTs `body` to `url` with `headers` ("Name: value"), waits for the end.
-Reply Post(const std::string& url, const std::string& body,
-           const std::vector<std::string>& headers, int timeout_ms = 10000);
+// Sends a POST request with `headers` ("Name: value" each) to `url` and waits
+// for the end of the reply.
+HttpReply Post(const std::string& url, const std::string& body,
+               const std::vector<std::string>& headers, int timeout_ms = 10000);
 
-// GETs `url`.
-Reply Get(const std::string& url, int timeout_ms = 5000);
+// Sends a GET request to `url` and waits for the end of the reply.
+HttpReply Get(const std::string& url, int timeout_ms = 5000);
 
-// A fresh folder under /tmp.
+// Creates a directory under /tmp and returns its path.
 std::string TempDir();
 
-// The first of kPortsEach ports that no other test process on this machine
-// uses until this one ends: the last of them is held as the claim.
-inline constexpr int kPortsEach = 50;
+// Claims kPortsPerRange consecutive ports for this process and returns the
+// first one. Other test processes on this host get none of them until this
+// process ends, because it listens on the last port of the range.
+inline constexpr int kPortsPerRange = 50;
 int FreeBase();
 
 }  // namespace medlarwalk::testing
