--- a/src/fake_engine.h
+++ b/src/fake_engine.h
@@ -77,7 +77,7 @@
   // Prefix cache: the most recently used prefix is at the front.
   std::list<uint64_t> lru_;
   std::unordered_map<uint64_t, std::list<uint64_t>::iterator> cached_prefixes_;
-  // A past load, kept for lagged load reports.
+  // The load at a past time, kept for lagged load reports.
   struct LoadSample {
     TimePoint at;
     int running;
--- a/src/load.cc
+++ b/src/load.cc
@@ -24,7 +24,7 @@
 constexpr double kPercentile = 0.95;
 constexpr double kDrainCheckSeconds = 0.05;
 
-// The observations of one request.
+// The result of one request as the load tool observed it.
 struct RequestOutcome {
   size_t class_index = 0;
   std::string nonce;
--- a/src/load.h
+++ b/src/load.h
@@ -40,7 +40,7 @@
 // A workload for one run.
 struct Workload {
   std::vector<std::string> targets;  // Base URLs, used round-robin.
-  std::vector<std::string> engines;  // Base URLs; their /stats give the waste.
+  std::vector<std::string> engines;  // Base URLs; wasted work needs /stats.
   double duration_s = 5;
   double drain_s = 10;  // Time to wait for answers after the last request.
   uint64_t seed = 1;
--- a/test/path_test.cc
+++ b/test/path_test.cc
@@ -318,7 +318,7 @@
   CHECK(resend.status == 502 || resend.status == 409);
   HttpReply resend_a = Post(url, R"({"ticket":"A"})", BillingHeaders("adj-A"));
   STRCMP_EQUAL(first.body.c_str(), resend_a.body.c_str());
-  CHECK_EQUAL(2, CountExecutions(f));  // A once, B once.
+  CHECK_EQUAL(2, CountExecutions(f));  // A and B ran once each.
 }
 
 // Failure: agents that get SIGTERM during a long stream exit at once and
