--- a/src/base/request_print.h
+++ b/src/base/request_print.h
@@ -1,5 +1,6 @@
-// What a request asks, as one number. A caller that sends a request again gives
-// it a new id; this stays the same, at every process and in every run.
+// Fingerprint of a request: a hash of its target, account and body. A caller
+// that retries a request gives it a new id, but the fingerprint stays the same,
+// in every process and in every run.
 #ifndef MEDLARWALK_REQUEST_PRINT_H_
 #define MEDLARWALK_REQUEST_PRINT_H_
 
@@ -14,14 +15,14 @@
 
 using RequestPrint = uint64_t;
 
-// The print of a request for `target` (path and query) with `body` by client
-// account `account` ("" where there is none). Thread safe.
+// Returns the fingerprint of a request for `target` (path and query) with
+// `body` by client account `account` ("" if there is none). Thread safe.
 inline RequestPrint PrintOf(absl::string_view target, absl::string_view account,
                             absl::string_view body) {
   return StableHash(body, StableHash(account, StableHash(target)));
 }
 
-// As it stands in logs.
+// Returns the fingerprint as logs show it: 16 hexadecimal digits.
 inline std::string PrintName(RequestPrint p) {
   return absl::StrCat(absl::Hex(p, absl::kZeroPad16));
 }
--- a/src/policy/change_reports.h
+++ b/src/policy/change_reports.h
@@ -1,6 +1,7 @@
-// What of a source of records is not yet known to the process it is reported
-// to. The source numbers its changes: seq() is the last one's number,
-// ChangedSince(seq, most) the newest records changed after it.
+// Tracks which records of a source the process reported to (the target) has not
+// confirmed yet. The source numbers its changes: seq() returns the number of
+// its last change, ChangedSince(seq, most) at most `most` records that changed
+// after `seq`.
 #ifndef MEDLARWALK_CHANGE_REPORTS_H_
 #define MEDLARWALK_CHANGE_REPORTS_H_
 
@@ -17,28 +18,30 @@
   // Precondition: `source` outlives this.
   explicit ChangeReports(const Source& source) : source_(source) {}
 
-  // What to tell `target` next: all that it has not confirmed.
+  // Returns the records to report to `target` next: those that it has not
+  // confirmed.
   auto For(const std::string& target) {
     if (target != target_) confirmed_ = 0;
     target_ = target;
     sent_ = source_.seq();
     return source_.ChangedSince(confirmed_, kMostTold);
   }
-  // The target has taken what For returned last.
+  // Records that the target has received the last report.
   void Confirmed() { confirmed_ = sent_; }
-  // The target failed: it may come back with nothing.
+  // Records that the target failed. It may have lost all earlier reports, so
+  // the next report contains all records again.
   void Lost() { confirmed_ = 0; }
-  // There is more than For returned last.
+  // Returns whether records have changed since the last report.
   bool waiting() const { return source_.seq() > sent_; }
 
  private:
-  // Records told at once: what a rack of engines leaves behind.
+  // Records in one report: enough for the crash of a whole rack of engines.
   static constexpr size_t kMostTold = 512;
 
   const Source& source_;
   std::string target_;
-  uint64_t sent_ = 0;
-  uint64_t confirmed_ = 0;
+  uint64_t sent_ = 0;       // Sequence number covered by the last report.
+  uint64_t confirmed_ = 0;  // Sequence number that the target has confirmed.
 };
 
 }  // namespace medlarwalk
--- a/src/policy/limit_book.cc
+++ b/src/policy/limit_book.cc
@@ -8,18 +8,19 @@
 namespace medlarwalk {
 namespace {
 
-// Upstreams told of; more than are in need at once.
-constexpr size_t kMostEntries = 1024;
-// An ended limit is told for so long, and an upstream that is not listed is
-// remembered: a list may lag behind the first answers of a new upstream.
-constexpr auto kEndedMemory = std::chrono::seconds(30);
-// A value this near to the one held, as a share of it, is no news: each change
-// is told to every process.
-constexpr double kNoNews = 0.05;
-
-bool IsNews(std::optional<double> held, std::optional<double> heard) {
-  if (!held || !heard) return held != heard;
-  return std::abs(*heard - *held) > kNoNews * *held;
+// Far more than the upstreams that announce limits at the same time.
+constexpr size_t kMaxEntries = 1024;
+// How long the record of a lifted limit or of an unlisted upstream is kept. The
+// upstream list may lag behind the first answers of a new upstream.
+constexpr auto kRetention = std::chrono::seconds(30);
+// Relative changes of a limit up to this size are ignored, because each change
+// is published to every process.
+constexpr double kIgnoredRelativeChange = 0.05;
+
+bool IsSignificantChange(std::optional<double> known,
+                         std::optional<double> announced) {
+  if (!known || !announced) return known != announced;
+  return std::abs(*announced - *known) > kIgnoredRelativeChange * *known;
 }
 
 }  // namespace
@@ -29,51 +30,51 @@
   auto it = entries_.find(upstream);
   std::optional<double> before;
   if (it != entries_.end()) before = it->second.record.per_s;
-  if (!IsNews(before, per_s)) return false;
+  if (!IsSignificantChange(before, per_s)) return false;
   TimePoint since = before ? it->second.record.since : now;
-  Join({upstream, per_s, now, since}, true);
+  MergeRecord({upstream, per_s, now, since}, true);
   return true;
 }
 
-void LimitBook::Join(const LimitRecord& r, bool tell_on) {
+void LimitBook::MergeRecord(const LimitRecord& r, bool forward) {
   auto it = entries_.find(r.upstream);
   if (it == entries_.end()) {
-    if (entries_.size() >= kMostEntries) return;
+    if (entries_.size() >= kMaxEntries) return;
     it = entries_.try_emplace(r.upstream).first;
   } else if (it->second.record.per_s == r.per_s) {
-    // The same, by another way.
+    // The same limit, received by another route.
     it->second.record.since = std::min(it->second.record.since, r.since);
     return;
   } else if (it->second.record.at >= r.at) {
     return;
   }
   it->second.record = r;
-  it->second.seq = tell_on ? ++seq_ : 0;
-  Changed();
+  it->second.seq = forward ? ++seq_ : 0;
+  RecordChange();
 }
 
 void LimitBook::TakeReported(absl::Span<const LimitRecord> records) {
-  for (const LimitRecord& r : records) Join(r, true);
+  for (const LimitRecord& r : records) MergeRecord(r, true);
 }
 
 void LimitBook::TakeTold(absl::Span<const LimitRecord> records) {
-  for (const LimitRecord& r : records) Join(r, false);
+  for (const LimitRecord& r : records) MergeRecord(r, false);
 }
 
 void LimitBook::Keep(const std::function<bool(const std::string&)>& listed,
                      TimePoint now) {
-  bool gone = false;
+  bool any_removed = false;
   for (auto it = entries_.begin(); it != entries_.end();) {
     const LimitRecord& r = it->second.record;
-    bool stays = r.per_s && listed(r.upstream);
-    if (stays || now - r.at < kEndedMemory) {
+    bool keep = r.per_s && listed(r.upstream);
+    if (keep || now - r.at < kRetention) {
       ++it;
       continue;
     }
     it = entries_.erase(it);
-    gone = true;
+    any_removed = true;
   }
-  if (gone) Changed();
+  if (any_removed) RecordChange();
 }
 
 const LimitRecord* LimitBook::Find(const std::string& upstream) const {
@@ -103,7 +104,7 @@
   return out;
 }
 
-void LimitBook::Changed() {
+void LimitBook::RecordChange() {
   ++changes_;
   std::string text;
   for (const auto& [upstream, e] : entries_) {
--- a/src/policy/limit_book.h
+++ b/src/policy/limit_book.h
@@ -1,10 +1,12 @@
-// The limits that upstreams name on what they take from all processes together.
+// Table of the rate limits that upstreams announce. A limit applies to the
+// requests of all processes together.
 //
-// Load pattern: an upstream in need names a limit in its answers, and the next
-// answer at another entry comes seconds later, or minutes in a large fleet. An
-// entry that waited for its own would send on meanwhile, and send too little
-// for as long once the limit has ended. So whoever hears a change tells it at
-// once, and every process holds the newest that anyone has heard.
+// Load pattern: an overloaded upstream announces a limit in its answers. The
+// next answer may reach another entry seconds later, or minutes later in a
+// large fleet. An entry that waited for its own answer would keep sending until
+// then, and would send too little for as long after the limit has ended. So a
+// process reports a changed limit at once, and every process uses the newest
+// limit that any process has received.
 #ifndef MEDLARWALK_LIMIT_BOOK_H_
 #define MEDLARWALK_LIMIT_BOOK_H_
 
@@ -21,52 +23,60 @@
 
 namespace medlarwalk {
 
-// What an upstream said of its limit.
+// The most recent limit that an upstream announced.
 struct LimitRecord {
   std::string upstream;
-  std::optional<double> per_s;  // nullopt: there is none any more.
-  TimePoint at{};               // When an answer said so for the first time.
-  TimePoint since{};            // When the first of its limits was named.
+  std::optional<double> per_s;  // Requests per second; nullopt: lifted.
+  TimePoint at{};               // When an answer first announced this value.
+  TimePoint since{};  // When the upstream went from unlimited to limited.
 };
 
-// Thread safety: loop thread only.
+// The known limits, by upstream. Thread safety: loop thread only.
 class LimitBook {
  public:
-  // An answer of `upstream` names `per_s`, or no limit. Returns whether that is
-  // another than before.
+  // Records that an answer of `upstream` announces the limit `per_s`, or no
+  // limit. Returns whether the limit changed.
   bool Note(const std::string& upstream, std::optional<double> per_s,
             TimePoint now);
-  // Joins what others tell: of each upstream the newest counts, in whatever
-  // order and however often it is told. ChangedSince tells on what was
-  // reported, not what was told by the process reported to.
+  // Merges records that other processes report to this one. The newest record
+  // of each upstream wins, in whatever order and however often records arrive.
+  // Merged changes are forwarded: ChangedSince returns them.
   void TakeReported(absl::Span<const LimitRecord> records);
+  // Merges records published by the process that this one reports to. They are
+  // not reported back.
   void TakeTold(absl::Span<const LimitRecord> records);
-  // Forgets upstreams that are not listed, and limits that ended long ago.
+  // Removes lifted limits and the limits of upstreams that are not listed, once
+  // their record is old enough.
   void Keep(const std::function<bool(const std::string&)>& listed,
             TimePoint now);
 
-  // The limit in force, or nullptr.
+  // Returns the upstream's limit in force, or nullptr if it has none.
   const LimitRecord* Find(const std::string& upstream) const;
-  // Those in force, and those that ended of late. By upstream.
+  // Returns all records, those of recently lifted limits included, sorted by
+  // upstream.
   std::vector<LimitRecord> All() const;
+  // Returns the number of limits in force.
   size_t in_force() const;
-  // Tells the contents of All(); 0 where there are none.
+  // Returns a hash of the contents of All(); 0 if it is empty.
   int64_t version() const { return version_; }
-  // Grows with every change, whoever told it.
+  // Returns a counter that grows with every change, whatever its source.
   uint64_t changes() const { return changes_; }
 
-  // Number of the last change noted or reported here.
+  // Returns the sequence number of the last change recorded or reported here.
   uint64_t seq() const { return seq_; }
-  // Those noted or reported after `seq`, `most` at most.
+  // Returns the records that were recorded or reported after `seq`, at most
+  // `most`.
   std::vector<LimitRecord> ChangedSince(uint64_t seq, size_t most) const;
 
  private:
   struct Entry {
     LimitRecord record;
-    uint64_t seq = 0;  // 0: told by the process that this one reports to.
+    uint64_t seq = 0;  // 0: published by the process reported to.
   };
-  void Join(const LimitRecord& r, bool tell_on);
-  void Changed();
+  // `forward`: the change is reported onward.
+  void MergeRecord(const LimitRecord& r, bool forward);
+  // Counts a change and recomputes the version.
+  void RecordChange();
 
   std::map<std::string, Entry> entries_;
   int64_t version_ = 0;
--- a/src/policy/limit_turns.cc
+++ b/src/policy/limit_turns.cc
@@ -6,38 +6,43 @@
 namespace medlarwalk {
 namespace {
 
-// A turn is open for this long: a request that may take it comes seldom at the
-// very moment. Short beside the spans over which a limit is judged, as turns
-// that were left over are taken together.
-constexpr auto kTurnOpen = Millis(1000);
-constexpr auto kBeforeTurns = Millis(3000);
-// One that takes nothing is asked so often whether that has changed.
-constexpr double kLeastPerS = 0.1;
+// How long a slot stays open: requests rarely arrive exactly when a slot
+// begins. Short compared with the period over which an upstream measures its
+// rate, as all open slots can be used at once.
+constexpr auto kOpenTime = Millis(1000);
+// How long an upstream receives no requests after it becomes limited.
+constexpr auto kInitialHold = Millis(3000);
+// An upstream with a lower limit, such as 0, still receives requests at this
+// rate, which shows whether its limit has changed.
+constexpr double kMinPerS = 0.1;
 
 }  // namespace
 
 std::optional<Millis> OpenTurn(const TurnAsk& ask,
                                std::optional<Millis> taken) {
-  double per_s = std::max(kLeastPerS, ask.per_s);
+  double per_s = std::max(kMinPerS, ask.per_s);
   int serving = std::max(1, ask.place.serving);
-  // Another process begins at each upstream.
-  auto shift = static_cast<int>(StableHash(ask.upstream) %
-                                static_cast<uint64_t>(serving));
-  int place = (ask.place.place + shift) % serving;
-  Millis after = ask.time - kTurnOpen;
-  // A clock that was set back must not close the turns until it has caught up.
-  if (taken && *taken - ask.time < kTurnOpen) after = std::max(after, *taken);
-  // Between two whole milliseconds: no turn begins just there.
-  double turns = (static_cast<double>(after.count()) + 0.5) / 1000.0 * per_s;
-  double cycle = std::floor((turns - place) / serving) + 1;
-  double begins = (cycle * serving + place) / per_s * 1000.0;
-  Millis at(static_cast<int64_t>(std::ceil(begins)));
-  if (at > ask.time) return std::nullopt;
-  return at;
+  // Slot 0 belongs to a different process for each upstream.
+  auto offset = static_cast<int>(StableHash(ask.upstream) %
+                                 static_cast<uint64_t>(serving));
+  int index = (ask.place.place + offset) % serving;
+  Millis after = ask.time - kOpenTime;
+  // After the clock is set back, `taken` may lie far in the future. It is then
+  // ignored, as it would otherwise close all slots until the clock catches up.
+  if (taken && *taken - ask.time < kOpenTime) after = std::max(after, *taken);
+  // Adds half a millisecond because slots begin at whole milliseconds: the
+  // slot that begins at `after` must be excluded.
+  double slots_before =
+      (static_cast<double>(after.count()) + 0.5) / 1000.0 * per_s;
+  double cycle = std::floor((slots_before - index) / serving) + 1;
+  double begins_ms = (cycle * serving + index) / per_s * 1000.0;
+  Millis slot_start(static_cast<int64_t>(std::ceil(begins_ms)));
+  if (slot_start > ask.time) return std::nullopt;
+  return slot_start;
 }
 
 bool TurnsHaveBegun(TimePoint since, TimePoint now) {
-  return now - since >= kBeforeTurns;
+  return now - since >= kInitialHold;
 }
 
 }  // namespace medlarwalk
--- a/src/policy/limit_turns.h
+++ b/src/policy/limit_turns.h
@@ -1,12 +1,14 @@
-// How the processes keep together to the limit that an upstream names, without
-// a message for each request. Pure functions, the clock passed in as a time.
+// Send slots, by which all processes together keep the rate limit of an
+// upstream without a message for each request. Pure functions; the time is a
+// parameter.
 //
-// Load pattern: hundreds of entries with a dozen requests a second each, and an
-// upstream that takes one a second from all of them. A part of the limit for
-// each would be a request in minutes, saved up at all of them for the same
-// moment. So the limit is a sequence of turns in the time that all processes
-// share: turn k begins at k / limit, and belongs to one process, each in its
-// place. One request may begin in a turn, within a moment of its beginning.
+// Load pattern: hundreds of entries receive a dozen requests a second each, for
+// an upstream that accepts one request a second from all of them together. If
+// each entry had a share of the limit, it could send one request in minutes,
+// and all entries could send their saved-up requests at the same moment. So the
+// limit is a sequence of send slots on a clock that all processes share: slot k
+// begins at k / limit, and the slots are assigned to the processes round-robin.
+// One request may be sent in a slot, shortly after the slot begins.
 #ifndef MEDLARWALK_LIMIT_TURNS_H_
 #define MEDLARWALK_LIMIT_TURNS_H_
 
@@ -18,28 +20,29 @@
 
 namespace medlarwalk {
 
-// This process among those that share upstreams.
+// The index of this process among the processes that share upstreams.
 struct TurnPlace {
-  int serving = 1;
-  int place = 0;  // From 0 to serving - 1; no other process has the same.
+  int serving = 1;  // Number of processes.
+  int place = 0;    // From 0 to serving - 1, unique to this process.
 };
 
-// When the turns of `upstream` that belong to this process are open.
+// Identifies the send slots of one upstream that belong to one process.
 struct TurnAsk {
   absl::string_view upstream;
-  double per_s = 1;  // The limit.
+  double per_s = 1;  // The rate limit of the upstream.
   TurnPlace place;
-  // The time all processes share, since any one moment.
+  // Now on the clock that all processes share; its epoch does not matter.
   Millis time{};
 };
 
-// The beginning of the earliest open turn that begins after `taken`, the last
-// one used (nullopt: none yet); nullopt when there is none.
+// Returns the start of the earliest open slot that begins after `taken`, the
+// start of the last slot used (nullopt: none yet). Returns nullopt if no slot
+// is open.
 std::optional<Millis> OpenTurn(const TurnAsk& ask, std::optional<Millis> taken);
 
-// Whether an upstream that has named a limit since `since` takes anything yet:
-// it has just been given more, from everywhere, and is first left to work that
-// off.
+// Returns whether an upstream that has announced limits since `since` may
+// receive requests yet. All processes exceeded the limit until it was
+// announced, so the upstream first gets time to work off that excess.
 bool TurnsHaveBegun(TimePoint since, TimePoint now);
 
 }  // namespace medlarwalk
--- a/src/policy/quarantine.cc
+++ b/src/policy/quarantine.cc
@@ -10,57 +10,60 @@
 namespace medlarwalk {
 namespace {
 
-// A request at one crash is one of many; at two it is worth everyone's notice.
-constexpr size_t kSharedFrom = 2;
-// From one look for what is too old to the next.
-constexpr auto kLookInterval = std::chrono::seconds(1);
+// Records with fewer crashes are not published: a single crash usually
+// involves many requests and says little about each of them.
+constexpr size_t kMinCrashesToPublish = 2;
+// Interval between checks for expired records.
+constexpr auto kExpiryInterval = std::chrono::seconds(1);
 
-bool Older(const Crash& a, const Crash& b) { return a.at < b.at; }
+bool IsOlder(const Crash& a, const Crash& b) { return a.at < b.at; }
 
-// Crashes that count against a request, oldest first.
-std::vector<Crash> Open(const CrashRecord& r) {
+// Returns the crashes that count against the request, oldest first.
+std::vector<Crash> UnclearedCrashes(const CrashRecord& r) {
   std::vector<Crash> out;
   for (const Crash& c : r.crashes) {
     if (!c.cleared) out.push_back(c);
   }
-  std::sort(out.begin(), out.end(), Older);
+  std::sort(out.begin(), out.end(), IsOlder);
   return out;
 }
 
-// How many of `crashes`, oldest first, came one after the other.
-int InSequence(absl::Span<const Crash> crashes,
-               const QuarantinePolicy& policy) {
+// Counts the crashes that are separate events. Precondition: `crashes` are
+// sorted, oldest first.
+int CountSeparateCrashes(absl::Span<const Crash> crashes,
+                         const QuarantinePolicy& policy) {
   int n = 0;
   TimePoint last{};
   for (const Crash& c : crashes) {
-    bool same =
-        c.sent_at + policy.clock_slack < last || c.at - last < policy.apart;
-    if (n > 0 && same) continue;
+    bool same_event = c.sent_at + policy.clock_tolerance < last ||
+                      c.at - last < policy.common_cause_interval;
+    if (n > 0 && same_event) continue;
     ++n;
     last = c.at;
   }
   return n;
 }
 
-bool WasAt(const CrashRecord& r, const Crash& crash) {
+bool WasInFlightAt(const CrashRecord& r, const Crash& crash) {
   return std::any_of(r.crashes.begin(), r.crashes.end(), [&](const Crash& c) {
     return !c.cleared && c.upstream == crash.upstream;
   });
 }
 
-// Adds `c` to the newest `most` that are kept; whether it is one of them.
-bool Add(const Crash& c, size_t most, std::vector<Crash>* crashes) {
+// Adds `c` to `*crashes`, which keeps the `most` newest. Returns whether `c`
+// was added.
+bool AddCrash(const Crash& c, size_t most, std::vector<Crash>* crashes) {
   if (crashes->size() < most) {
     crashes->push_back(c);
     return true;
   }
-  auto oldest = std::min_element(crashes->begin(), crashes->end(), Older);
-  if (!Older(*oldest, c)) return false;
+  auto oldest = std::min_element(crashes->begin(), crashes->end(), IsOlder);
+  if (!IsOlder(*oldest, c)) return false;
   *oldest = c;
   return true;
 }
 
-TimePoint Newest(const CrashRecord& r) {
+TimePoint LastCrashAt(const CrashRecord& r) {
   TimePoint at{};
   for (const Crash& c : r.crashes) at = std::max(at, c.at);
   return at;
@@ -68,93 +71,105 @@
 
 }  // namespace
 
-std::vector<RequestPrint> CrashingRequests(absl::Span<const CrashRecord> all,
-                                           const QuarantinePolicy& policy) {
-  struct Suspect {
+std::vector<RequestPrint> FindCrashInducingRequests(
+    absl::Span<const CrashRecord> all, const QuarantinePolicy& policy) {
+  struct Candidate {
     const CrashRecord* record;
-    std::vector<Crash> open;
+    std::vector<Crash> uncleared;
   };
-  std::vector<Suspect> suspects;
+  std::vector<Candidate> candidates;
   for (const CrashRecord& r : all) {
-    std::vector<Crash> open = Open(r);
-    if (InSequence(open, policy) < policy.crashes) continue;
-    suspects.push_back({&r, std::move(open)});
+    std::vector<Crash> uncleared = UnclearedCrashes(r);
+    if (CountSeparateCrashes(uncleared, policy) < policy.min_crashes) continue;
+    candidates.push_back({&r, std::move(uncleared)});
   }
-  std::sort(suspects.begin(), suspects.end(),
-            [](const Suspect& a, const Suspect& b) {
-              return std::make_pair(b.open.size(), a.record->asks) <
-                     std::make_pair(a.open.size(), b.record->asks);
+  std::sort(candidates.begin(), candidates.end(),
+            [](const Candidate& a, const Candidate& b) {
+              return std::make_pair(b.uncleared.size(), a.record->asks) <
+                     std::make_pair(a.uncleared.size(), b.record->asks);
             });
   std::vector<RequestPrint> out;
-  std::set<uint64_t> accounted;  // Upstreams.
-  for (const Suspect& s : suspects) {
-    std::vector<Crash> left;
-    for (const Crash& c : s.open) {
-      if (accounted.count(c.upstream) == 0) left.push_back(c);
+  // Upstreams whose crash an earlier request in `out` explains.
+  std::set<uint64_t> explained;
+  for (const Candidate& candidate : candidates) {
+    std::vector<Crash> unexplained;
+    for (const Crash& c : candidate.uncleared) {
+      if (explained.count(c.upstream) == 0) unexplained.push_back(c);
     }
-    int n = InSequence(left, policy);
-    if (n < policy.crashes) continue;
-    std::vector<Crash> begun;
-    std::copy_if(left.begin(), left.end(), std::back_inserter(begun),
+    int n = CountSeparateCrashes(unexplained, policy);
+    if (n < policy.min_crashes) continue;
+    // Of the unexplained crashes, those at which the request had just started.
+    std::vector<Crash> just_started;
+    std::copy_if(unexplained.begin(), unexplained.end(),
+                 std::back_inserter(just_started),
                  [](const Crash& c) { return c.just_begun; });
-    bool tied =
-        std::any_of(suspects.begin(), suspects.end(), [&](const Suspect& o) {
-          return o.record != s.record &&
-                 std::all_of(left.begin(), left.end(), [&](const Crash& c) {
-                   return WasAt(*o.record, c);
-                 });
+    // Another request was in flight at all the same crashes.
+    bool inseparable = std::any_of(
+        candidates.begin(), candidates.end(), [&](const Candidate& other) {
+          return other.record != candidate.record &&
+                 std::all_of(unexplained.begin(), unexplained.end(),
+                             [&](const Crash& c) {
+                               return WasInFlightAt(*other.record, c);
+                             });
         });
-    bool sure = !tied && InSequence(begun, policy) >= policy.crashes;
-    if (!sure && n < policy.crashes_if_unsure) continue;
-    out.push_back(s.record->asks);
-    for (const Crash& c : s.open) accounted.insert(c.upstream);
+    bool cause_is_clear =
+        !inseparable &&
+        CountSeparateCrashes(just_started, policy) >= policy.min_crashes;
+    if (!cause_is_clear && n < policy.min_crashes_if_ambiguous) continue;
+    out.push_back(candidate.record->asks);
+    for (const Crash& c : candidate.uncleared) explained.insert(c.upstream);
   }
   return out;
 }
 
-void Quarantine::NoteCrash(RequestPrint asks, absl::string_view upstream,
+void Quarantine::NoteCrash(RequestPrint fingerprint, absl::string_view upstream,
                            Crash crash) {
   crash.upstream = StableHash(upstream);
-  CrashRecord r{asks, {crash}};
-  Take(absl::MakeConstSpan(&r, 1), true);
+  CrashRecord r{fingerprint, {crash}};
+  MergeRecords(absl::MakeConstSpan(&r, 1), true);
 }
 
-void Quarantine::NoteServed(RequestPrint asks) {
-  auto it = entries_.find(asks);
+void Quarantine::NoteServed(RequestPrint fingerprint) {
+  auto it = entries_.find(fingerprint);
   if (it == entries_.end()) return;
   CrashRecord r = it->second.record;
   for (Crash& c : r.crashes) c.cleared = true;
-  Take(absl::MakeConstSpan(&r, 1), true);
+  MergeRecords(absl::MakeConstSpan(&r, 1), true);
 }
 
 void Quarantine::TakeReported(absl::Span<const CrashRecord> records) {
-  Take(records, true);
+  MergeRecords(records, true);
 }
 
 void Quarantine::TakeTold(absl::Span<const CrashRecord> records) {
-  Take(records, false);
+  MergeRecords(records, false);
 }
 
-void Quarantine::Take(absl::Span<const CrashRecord> records, bool tell_on) {
-  bool any = false;
-  for (const CrashRecord& r : records) any |= Join(r, tell_on);
-  if (!any) return;
-  Bound();
-  for (auto& [asks, e] : entries_) {
-    if (e.record.crashes.size() >= kSharedFrom) ClearCommon(e.record);
+void Quarantine::MergeRecords(absl::Span<const CrashRecord> records,
+                              bool forward) {
+  bool changed = false;
+  for (const CrashRecord& r : records) changed |= MergeRecord(r, forward);
+  if (!changed) return;
+  EvictExcessRecords();
+  for (auto& [fingerprint, e] : entries_) {
+    if (e.record.crashes.size() >= kMinCrashesToPublish)
+      ClearCoincidentCrashes(e.record);
   }
-  Judge();
+  UpdateQuarantine();
 }
 
-void Quarantine::NoteEnd(const Crash& c) {
-  if (ended_.emplace(c.upstream, c.at).second) ends_.emplace(c.at, c.upstream);
+void Quarantine::RecordTermination(const Crash& c) {
+  if (terminated_at_.emplace(c.upstream, c.at).second)
+    terminations_.emplace(c.at, c.upstream);
 }
 
-void Quarantine::ClearCommon(CrashRecord& r) const {
+void Quarantine::ClearCoincidentCrashes(CrashRecord& r) const {
   for (Crash& c : r.crashes) {
-    auto end = ends_.upper_bound(c.at + policy_.apart);
-    for (auto it = ends_.lower_bound(c.at - policy_.apart);
-         !c.cleared && it != end; ++it) {
+    auto window_end =
+        terminations_.upper_bound(c.at + policy_.common_cause_interval);
+    for (auto it =
+             terminations_.lower_bound(c.at - policy_.common_cause_interval);
+         !c.cleared && it != window_end; ++it) {
       c.cleared = std::none_of(
           r.crashes.begin(), r.crashes.end(),
           [&](const Crash& own) { return own.upstream == it->second; });
@@ -162,46 +177,46 @@
   }
 }
 
-bool Quarantine::Join(const CrashRecord& r, bool tell_on) {
+bool Quarantine::MergeRecord(const CrashRecord& r, bool forward) {
   Entry& e = entries_[r.asks];
   e.record.asks = r.asks;
-  std::vector<Crash>& known = e.record.crashes;
+  std::vector<Crash>& known_crashes = e.record.crashes;
   bool changed = false;
   for (const Crash& c : r.crashes) {
-    NoteEnd(c);
-    auto it = std::find_if(known.begin(), known.end(), [&](const Crash& k) {
-      return k.upstream == c.upstream;
-    });
-    if (it == known.end()) {
-      changed |= Add(c, policy_.most_crashes, &known);
+    RecordTermination(c);
+    auto it =
+        std::find_if(known_crashes.begin(), known_crashes.end(),
+                     [&](const Crash& k) { return k.upstream == c.upstream; });
+    if (it == known_crashes.end()) {
+      changed |= AddCrash(c, policy_.max_crashes_per_record, &known_crashes);
     } else if (c.cleared && !it->cleared) {
       it->cleared = true;
       changed = true;
     }
   }
-  if (changed && tell_on) e.seq = ++seq_;
+  if (changed && forward) e.seq = ++seq_;
   return changed;
 }
 
-// Keeps the bound: those at the fewest crashes go first, the oldest of them.
-void Quarantine::Bound() {
-  while (entries_.size() > policy_.most_records) {
+void Quarantine::EvictExcessRecords() {
+  while (entries_.size() > policy_.max_records) {
     auto least = std::min_element(
         entries_.begin(), entries_.end(), [](const auto& a, const auto& b) {
           const CrashRecord& x = a.second.record;
           const CrashRecord& y = b.second.record;
-          return std::make_pair(x.crashes.size(), Newest(x)) <
-                 std::make_pair(y.crashes.size(), Newest(y));
+          return std::make_pair(x.crashes.size(), LastCrashAt(x)) <
+                 std::make_pair(y.crashes.size(), LastCrashAt(y));
         });
     entries_.erase(least);
   }
 }
 
-void Quarantine::Judge() {
-  Convict(CrashingRequests(BesideMore(), policy_));
-  std::vector<CrashRecord> shared = Shared();
+void Quarantine::UpdateQuarantine() {
+  SetQuarantined(
+      FindCrashInducingRequests(RecordsWithRepeatedCrashes(), policy_));
+  std::vector<CrashRecord> to_publish = Shared();
   std::string text;
-  for (const CrashRecord& r : shared) {
+  for (const CrashRecord& r : to_publish) {
     absl::StrAppend(&text, r.asks);
     for (const Crash& c : r.crashes) {
       absl::StrAppend(&text, " ", c.upstream, c.cleared ? "c" : "");
@@ -209,54 +224,56 @@
     absl::StrAppend(&text, "\n");
   }
   version_ =
-      shared.empty()
+      to_publish.empty()
           ? 0
           : std::max<int64_t>(1, static_cast<int64_t>(StableHash(text) >> 1));
 }
 
-void Quarantine::Convict(absl::Span<const RequestPrint> crashing) {
-  std::set<RequestPrint> refused(crashing.begin(), crashing.end());
-  if (refused == refused_) return;
-  for (RequestPrint p : refused) {
+void Quarantine::SetQuarantined(absl::Span<const RequestPrint> fingerprints) {
+  std::set<RequestPrint> now_quarantined(fingerprints.begin(),
+                                         fingerprints.end());
+  if (now_quarantined == quarantined_) return;
+  for (RequestPrint p : now_quarantined) {
     if (Refuses(p)) continue;
     LogEvent("quarantined", {{"asks", PrintName(p)},
                              {"crashes", entries_[p].record.crashes.size()}});
   }
-  for (RequestPrint p : refused_) {
-    if (refused.count(p)) continue;
+  for (RequestPrint p : quarantined_) {
+    if (now_quarantined.count(p)) continue;
     LogEvent("quarantine_ended", {{"asks", PrintName(p)}});
   }
-  refused_ = std::move(refused);
-  ++verdicts_;
+  quarantined_ = std::move(now_quarantined);
+  ++quarantine_changes_;
 }
 
 void Quarantine::Tick(TimePoint now) {
-  if (now - looked_at_ < kLookInterval) return;
-  looked_at_ = now;
-  bool any = false;
+  if (now - last_expiry_at_ < kExpiryInterval) return;
+  last_expiry_at_ = now;
+  bool any_expired = false;
   for (auto it = entries_.begin(); it != entries_.end();) {
-    bool old = now - Newest(it->second.record) > policy_.memory;
-    any |= old;
-    it = old ? entries_.erase(it) : std::next(it);
+    bool expired = now - LastCrashAt(it->second.record) > policy_.retention;
+    any_expired |= expired;
+    it = expired ? entries_.erase(it) : std::next(it);
   }
-  auto old_ends = ends_.upper_bound(now - policy_.memory);
-  for (auto it = ends_.begin(); it != old_ends; it = ends_.erase(it)) {
-    ended_.erase(it->second);
+  auto expired_end = terminations_.upper_bound(now - policy_.retention);
+  for (auto it = terminations_.begin(); it != expired_end;
+       it = terminations_.erase(it)) {
+    terminated_at_.erase(it->second);
   }
-  if (any) Judge();
+  if (any_expired) UpdateQuarantine();
 }
 
-Duration Quarantine::RefusedFor(RequestPrint asks, TimePoint now) const {
-  auto it = entries_.find(asks);
+Duration Quarantine::RefusedFor(RequestPrint fingerprint, TimePoint now) const {
+  auto it = entries_.find(fingerprint);
   if (it == entries_.end()) return Duration::zero();
-  return std::max<Duration>(Duration::zero(),
-                            Newest(it->second.record) + policy_.memory - now);
+  return std::max<Duration>(Duration::zero(), LastCrashAt(it->second.record) +
+                                                  policy_.retention - now);
 }
 
 std::vector<CrashRecord> Quarantine::ChangedSince(uint64_t seq,
                                                   size_t most) const {
   std::vector<const Entry*> changed;
-  for (const auto& [asks, e] : entries_) {
+  for (const auto& [fingerprint, e] : entries_) {
     if (e.seq > seq) changed.push_back(&e);
   }
   std::sort(changed.begin(), changed.end(),
@@ -267,25 +284,26 @@
   return out;
 }
 
-std::vector<CrashRecord> Quarantine::BesideMore() const {
+std::vector<CrashRecord> Quarantine::RecordsWithRepeatedCrashes() const {
   std::vector<CrashRecord> out;
-  for (const auto& [asks, e] : entries_) {
-    if (e.record.crashes.size() >= kSharedFrom) out.push_back(e.record);
+  for (const auto& [fingerprint, e] : entries_) {
+    if (e.record.crashes.size() >= kMinCrashesToPublish)
+      out.push_back(e.record);
   }
   return out;
 }
 
 std::vector<CrashRecord> Quarantine::Shared() const {
-  std::vector<CrashRecord> out = BesideMore();
-  auto rank = [this](const CrashRecord& r) {
-    return std::make_pair(Refuses(r.asks), Newest(r));
+  std::vector<CrashRecord> out = RecordsWithRepeatedCrashes();
+  auto priority = [this](const CrashRecord& r) {
+    return std::make_pair(Refuses(r.asks), LastCrashAt(r));
   };
-  if (out.size() > policy_.most_shared) {
+  if (out.size() > policy_.max_published_records) {
     std::sort(out.begin(), out.end(),
               [&](const CrashRecord& a, const CrashRecord& b) {
-                return rank(a) > rank(b);
+                return priority(a) > priority(b);
               });
-    out.resize(policy_.most_shared);
+    out.resize(policy_.max_published_records);
   }
   for (CrashRecord& r : out) {
     std::sort(
--- a/src/policy/quarantine.h
+++ b/src/policy/quarantine.h
@@ -1,13 +1,15 @@
-// Requests that crash what runs them, and are therefore sent nowhere.
+// Quarantine of requests that crash the upstreams that run them.
 //
-// Load pattern: one caller's request ends each engine that begins to run it,
-// with everything else that runs there; its caller comes again under a new id,
-// at any entry, as fast as engines come back. Counted alone, crashes would
-// convict whoever stood beside: so a request is refused only for crashes that
-// no other request accounts for, and is cleared of those before it was served.
+// Load pattern: one caller's request crashes each engine that starts it, along
+// with all other requests on that engine. The caller retries it under a new id,
+// at any entry, as fast as engines restart. A plain count of crashes would
+// also blame co-located requests, which were in flight at the same engines. So
+// a request is quarantined only for crashes that no other request explains,
+// and a request that was served is cleared of its earlier crashes.
 //
-// Records only grow, and are joined: it makes no difference in which order, how
-// often or through whom processes hear of them.
+// Records only grow, and merging them is order-independent and idempotent:
+// processes may receive them in any order, any number of times and through any
+// other process.
 #ifndef MEDLARWALK_QUARANTINE_H_
 #define MEDLARWALK_QUARANTINE_H_
 
@@ -26,79 +28,98 @@
 
 namespace medlarwalk {
 
-// An upstream that ended while it had a request.
+// The termination of an upstream while it had a request in flight.
 struct Crash {
-  uint64_t upstream = 0;  // Hash of its id.
-  TimePoint sent_at{};    // When it was given the request.
-  TimePoint at{};
-  // The request had just begun to run there, as far as could be seen.
+  uint64_t upstream = 0;  // Hash of the upstream's id.
+  TimePoint sent_at{};    // When the request was sent to the upstream.
+  TimePoint at{};         // When the upstream terminated.
+  // The request had only just started on the upstream, as far as known.
   bool just_begun = false;
-  // Not its doing: it was served later, or another upstream, which did not have
-  // it, ended at the same moment.
+  // The request did not cause this crash: it was served later, or another
+  // upstream that did not have the request terminated at the same moment.
   bool cleared = false;
 };
 
-// The crashes one request was there at.
+// The crashes at which one request was in flight.
 struct CrashRecord {
-  RequestPrint asks = 0;
+  RequestPrint asks = 0;  // Fingerprint of the request.
   std::vector<Crash> crashes;
 };
 
 struct QuarantinePolicy {
-  int crashes = 3;  // That make a request one that crashes upstreams.
-  // The same where another was at all of them too: which of the two did it is
-  // known as soon as one crash has only one of them. And where it had not just
-  // begun each time, as most of those who stand beside have not.
-  int crashes_if_unsure = 5;
-  // A crash is another one only if the request was sent there after the one
-  // before, as far as clocks agree: a loss of power ends many upstreams at
-  // once, whatever they run.
-  Duration clock_slack = Millis(5);
-  // Ends of upstreams closer together than this are of one cause. A request
-  // that was moved from the first may have been under way to the second.
-  Duration apart = Millis(20);
-  Duration memory = std::chrono::hours(1);  // Since the last crash.
-  size_t most_records = 4096;
-  size_t most_shared = 256;  // Told to all: those refused, then the newest.
-  size_t most_crashes = 16;  // Of one record: the newest ones.
+  // Crashes that quarantine a request when the cause is clear.
+  int min_crashes = 3;
+  // Crashes that quarantine a request when the cause is ambiguous. The cause is
+  // ambiguous if another request was in flight at all the same crashes: a
+  // single crash with only one of the two resolves it. It is also ambiguous if
+  // the request had not just started each time: most co-located requests had
+  // not.
+  int min_crashes_if_ambiguous = 5;
+  // A crash counts separately only if the request was sent there after the
+  // previous crash, within this tolerance for differing clocks: a power loss
+  // terminates many upstreams at once, whatever they run.
+  Duration clock_tolerance = Millis(5);
+  // Terminations closer together than this have a common cause. A request that
+  // was moved away from the first upstream may have been in transit to the
+  // second.
+  Duration common_cause_interval = Millis(20);
+  // How long a record is kept after its last crash.
+  Duration retention = std::chrono::hours(1);
+  size_t max_records = 4096;
+  // Records published to all processes: those of quarantined requests, then
+  // those with the most recent crashes.
+  size_t max_published_records = 256;
+  // Crashes kept in one record: the most recent ones.
+  size_t max_crashes_per_record = 16;
 };
 
-// The requests that account for crashes, those for most of them first: each for
-// `policy.crashes` that are not accounted for by those before it.
-std::vector<RequestPrint> CrashingRequests(absl::Span<const CrashRecord> all,
-                                           const QuarantinePolicy& policy);
+// Returns the requests that explain the crashes in `all`, the request with the
+// most crashes first. Each has at least `policy.min_crashes` crashes that the
+// requests before it in the result do not explain.
+std::vector<RequestPrint> FindCrashInducingRequests(
+    absl::Span<const CrashRecord> all, const QuarantinePolicy& policy);
 
-// Thread safety: loop thread only.
+// Collects crash records and decides which requests are quarantined. Thread
+// safety: loop thread only.
 class Quarantine {
  public:
   explicit Quarantine(QuarantinePolicy policy = {}) : policy_(policy) {}
 
-  // `upstream` ended while it had `asks`, as `crash` tells but for its id.
-  void NoteCrash(RequestPrint asks, absl::string_view upstream, Crash crash);
-  // `asks` was served: none of the crashes so far was its doing.
-  void NoteServed(RequestPrint asks);
-  // Joins what those who report here have noted. ChangedSince tells it on.
+  // Records that `upstream` terminated while it had the request with
+  // `fingerprint` in flight. Sets `crash.upstream` from `upstream`.
+  void NoteCrash(RequestPrint fingerprint, absl::string_view upstream,
+                 Crash crash);
+  // Records that the request was served, which clears all its crashes so far.
+  void NoteServed(RequestPrint fingerprint);
+  // Merges records that other processes report to this one. They are forwarded:
+  // ChangedSince returns them.
   void TakeReported(absl::Span<const CrashRecord> records);
-  // Joins what the process holds that this one reports to.
+  // Merges records published by the process that this one reports to. They are
+  // not reported back.
   void TakeTold(absl::Span<const CrashRecord> records);
-  // Forgets what is too old.
+  // Drops expired records. Call regularly.
   void Tick(TimePoint now);
 
-  // Whether `asks` is to be sent nowhere, and for how long from `now`.
-  bool Refuses(RequestPrint asks) const { return refused_.count(asks) > 0; }
-  Duration RefusedFor(RequestPrint asks, TimePoint now) const;
-  // Grows whenever a request is refused that was not, or freed.
-  uint64_t verdicts() const { return verdicts_; }
-  size_t refused() const { return refused_.size(); }
-
-  // Number of the last record noted or reported here.
+  // Whether the request is quarantined: it must not be sent to any upstream.
+  bool Refuses(RequestPrint fingerprint) const {
+    return quarantined_.count(fingerprint) > 0;
+  }
+  // Returns the time from `now` until the request's record expires.
+  Duration RefusedFor(RequestPrint fingerprint, TimePoint now) const;
+  // Grows whenever a request enters or leaves the quarantine.
+  uint64_t verdicts() const { return quarantine_changes_; }
+  // Returns the number of quarantined requests.
+  size_t refused() const { return quarantined_.size(); }
+
+  // Returns the sequence number of the last change recorded or reported here.
   uint64_t seq() const { return seq_; }
-  // Those noted or reported after `seq`, the newest `most`.
+  // Returns the records that changed here after `seq`, at most the `most`
+  // latest.
   std::vector<CrashRecord> ChangedSince(uint64_t seq, size_t most) const;
-  // What all processes should know: requests beside more than one crash, sorted
-  // by what they ask.
+  // Returns the records to publish to all processes: those with more than one
+  // crash, sorted by fingerprint.
   std::vector<CrashRecord> Shared() const;
-  // Tells the contents of Shared(); 0 where there are none.
+  // Returns a hash of the contents of Shared(); 0 if it is empty.
   int64_t version() const { return version_; }
 
  private:
@@ -106,28 +127,33 @@
     CrashRecord record;
     uint64_t seq = 0;
   };
-  // Joins one record; whether anything was new.
-  bool Join(const CrashRecord& r, bool tell_on);
-  void NoteEnd(const Crash& c);
-  // Clears each crash of `r` of which one request cannot be the cause.
-  void ClearCommon(CrashRecord& r) const;
-  void Take(absl::Span<const CrashRecord> records, bool tell_on);
-  void Bound();
-  // Sets who is refused, and the version of what is told.
-  void Judge();
-  void Convict(absl::Span<const RequestPrint> crashing);
-  // The records of more than one crash.
-  std::vector<CrashRecord> BesideMore() const;
+  // Merges `r`; returns whether it held anything new. `forward`: the change is
+  // reported onward.
+  bool MergeRecord(const CrashRecord& r, bool forward);
+  void RecordTermination(const Crash& c);
+  // Clears each crash of `r` that coincides with the termination of an upstream
+  // that did not have the request.
+  void ClearCoincidentCrashes(CrashRecord& r) const;
+  void MergeRecords(absl::Span<const CrashRecord> records, bool forward);
+  // Evicts records above the limit: those with the fewest crashes first, and
+  // among these the ones with the oldest last crash.
+  void EvictExcessRecords();
+  // Recomputes the set of quarantined requests and the published version.
+  void UpdateQuarantine();
+  void SetQuarantined(absl::Span<const RequestPrint> fingerprints);
+  // Returns the records with more than one crash.
+  std::vector<CrashRecord> RecordsWithRepeatedCrashes() const;
 
   QuarantinePolicy policy_;
   std::unordered_map<RequestPrint, Entry> entries_;
-  std::map<uint64_t, TimePoint> ended_;  // By upstream, as first heard.
-  std::multimap<TimePoint, uint64_t> ends_;
-  std::set<RequestPrint> refused_;
-  uint64_t verdicts_ = 0;
+  // By upstream hash: when it terminated, as first reported.
+  std::map<uint64_t, TimePoint> terminated_at_;
+  std::multimap<TimePoint, uint64_t> terminations_;  // Upstream hashes by time.
+  std::set<RequestPrint> quarantined_;
+  uint64_t quarantine_changes_ = 0;
   uint64_t seq_ = 0;
   int64_t version_ = 0;
-  TimePoint looked_at_{};  // For what is too old.
+  TimePoint last_expiry_at_{};  // When expired records were last dropped.
 };
 
 using CrashReports = ChangeReports<Quarantine>;
--- a/src/policy/routing_config.cc
+++ b/src/policy/routing_config.cc
@@ -10,35 +10,39 @@
 namespace medlarwalk {
 namespace {
 
-// Tiers of accounts told apart within one of routes: as many as of these.
-constexpr int kAccountTiers = 8;
-// Far above any tier; keeps ranks within an int.
-constexpr Tier kMostTier = 1'000'000;
-// Priorities that engines tell apart.
-constexpr int kEnginePriorities = 10;
-
-Tier AccountTier(Tier tier) { return std::clamp(tier, 0, kAccountTiers - 1); }
+// Number of distinct account tiers within one route tier.
+constexpr int kNumAccountTiers = 8;
+// Far above any tier in use; keeps ranks within an int.
+constexpr Tier kMaxTier = 1'000'000;
+// Number of priorities that engines distinguish.
+constexpr int kNumEnginePriorities = 10;
+
+Tier ClampAccountTier(Tier tier) {
+  return std::clamp(tier, 0, kNumAccountTiers - 1);
+}
 
-// The priority of each rank that may occur.
+// Returns the engine priority of each rank that may occur.
 std::map<Tier, int> EnginePriorities(const RoutingConfig& c) {
-  std::set<Tier> routes;
-  std::set<Tier> accounts;
+  std::set<Tier> route_tiers;
+  std::set<Tier> account_tiers;
   for (const RouteRule& r : c.routes) {
-    routes.insert(r.tier);
-    accounts.insert(AccountTier(r.tier));
+    route_tiers.insert(r.tier);
+    account_tiers.insert(ClampAccountTier(r.tier));
   }
   for (const AccountRule& a : c.accounts) {
-    if (a.tier) accounts.insert(AccountTier(*a.tier));
+    if (a.tier) account_tiers.insert(ClampAccountTier(*a.tier));
   }
-  bool all = routes.size() * accounts.size() <= kEnginePriorities;
+  bool one_per_rank =
+      route_tiers.size() * account_tiers.size() <= kNumEnginePriorities;
   std::map<Tier, int> out;
-  int next = 0;
-  for (Tier route : routes) {
-    for (Tier account : accounts) {
-      out[RankOf(route, account)] = std::min(next, kEnginePriorities - 1);
-      next += all;
+  int next_priority = 0;
+  for (Tier route_tier : route_tiers) {
+    for (Tier account_tier : account_tiers) {
+      out[RankOf(route_tier, account_tier)] =
+          std::min(next_priority, kNumEnginePriorities - 1);
+      next_priority += one_per_rank;
     }
-    next += !all;
+    next_priority += !one_per_rank;
   }
   return out;
 }
@@ -51,30 +55,30 @@
 
 absl::Status ValidateConfig(const RoutingConfig& c) {
   if (c.version <= 0) return Invalid("version must be positive", "");
-  std::set<std::pair<std::string, std::string>> places;
+  std::set<std::pair<std::string, std::string>> seen;
   for (const RouteRule& r : c.routes) {
     if (r.path_prefix.empty() || r.path_prefix.front() != '/' ||
         r.path_prefix.back() != '/') {
       return Invalid("path prefix must begin and end with a slash", r.name);
     }
-    if (!places.emplace(absl::AsciiStrToLower(r.host), r.path_prefix).second) {
+    if (!seen.emplace(absl::AsciiStrToLower(r.host), r.path_prefix).second) {
       return Invalid("two routes share host and prefix", r.name);
     }
     if (r.timeout <= Duration::zero()) return Invalid("no timeout", r.name);
-    double sum = 0;
+    double total_weight = 0;
     for (const WeightedService& w : r.services) {
       if (!c.services.count(w.service)) {
         return Invalid("unknown service", w.service);
       }
       if (w.weight < 0) return Invalid("negative weight", r.name);
-      sum += w.weight;
+      total_weight += w.weight;
     }
-    if (sum <= 0) return Invalid("weights add up to 0", r.name);
+    if (total_weight <= 0) return Invalid("weights add up to 0", r.name);
   }
   std::set<std::string> keys;
   for (const AccountRule& a : c.accounts) {
-    std::set<std::string> own(a.keys.begin(), a.keys.end());
-    for (const std::string& k : own) {
+    std::set<std::string> distinct_keys(a.keys.begin(), a.keys.end());
+    for (const std::string& k : distinct_keys) {
       if (!keys.insert(k).second) return Invalid("a key is shared", a.name);
     }
   }
@@ -91,11 +95,13 @@
   for (size_t i = 0; i < c->routes.size(); ++i) {
     c->routes_of_host[absl::AsciiStrToLower(c->routes[i].host)].push_back(i);
   }
-  // Longest prefix first, so the first that begins the path is the route.
-  for (auto& [host, list] : c->routes_of_host) {
-    std::stable_sort(list.begin(), list.end(), [&](size_t a, size_t b) {
-      return c->routes[a].path_prefix.size() > c->routes[b].path_prefix.size();
-    });
+  // Sorts by descending prefix length, so that the first match is the longest.
+  for (auto& [host, route_indexes] : c->routes_of_host) {
+    std::stable_sort(route_indexes.begin(), route_indexes.end(),
+                     [&](size_t a, size_t b) {
+                       return c->routes[a].path_prefix.size() >
+                              c->routes[b].path_prefix.size();
+                     });
   }
 }
 
@@ -117,23 +123,23 @@
 }
 
 Tier RankOf(Tier route_tier, Tier account_tier) {
-  return std::clamp(route_tier, 0, kMostTier) * kAccountTiers +
-         AccountTier(account_tier);
+  return std::clamp(route_tier, 0, kMaxTier) * kNumAccountTiers +
+         ClampAccountTier(account_tier);
 }
 
 int EnginePriority(const RoutingConfig& c, Tier rank) {
   auto it = c.engine_priority.find(rank);
-  return it == c.engine_priority.end() ? kEnginePriorities - 1 : it->second;
+  return it == c.engine_priority.end() ? kNumEnginePriorities - 1 : it->second;
 }
 
 const std::string& PickService(const RouteRule& r, double draw) {
-  double sum = 0;
-  for (const WeightedService& w : r.services) sum += w.weight;
-  double at = draw * sum;
+  double total_weight = 0;
+  for (const WeightedService& w : r.services) total_weight += w.weight;
+  double remaining = draw * total_weight;
   for (const WeightedService& w : r.services) {
     if (w.weight <= 0) continue;
-    if (at < w.weight) return w.service;
-    at -= w.weight;
+    if (remaining < w.weight) return w.service;
+    remaining -= w.weight;
   }
   for (auto it = r.services.rbegin(); it != r.services.rend(); ++it) {
     if (it->weight > 0) return it->service;
--- a/src/policy/routing_config.h
+++ b/src/policy/routing_config.h
@@ -1,5 +1,5 @@
-// What operators declare: routes, services, client accounts and limits, as
-// one versioned document, and the look-ups on it.
+// The routing configuration that operators submit: routes, services, client
+// accounts and limits, as one versioned document, and lookups in it.
 #ifndef MEDLARWALK_ROUTING_CONFIG_H_
 #define MEDLARWALK_ROUTING_CONFIG_H_
 
@@ -16,49 +16,51 @@
 
 namespace medlarwalk {
 
-// What may be repeated.
+// Whether the requests of a route may be repeated.
 enum class RequestKind {
-  kRepeatable,  // May run more than once.
-  kOnce,        // At most once for each caller attempt.
-  kStream,      // Events; at most once unless the route is resumable.
+  kRepeatable,  // A request may run more than once.
+  kOnce,        // A request runs at most once per caller attempt.
+  kStream,      // Event stream; runs at most once unless resumable.
 };
 
+// A service of a route, with its share of the requests.
 struct WeightedService {
   std::string service;
   double weight = 1;
 };
 
+// A route: the requests it matches and how they are handled.
 struct RouteRule {
   std::string name;
   std::string host;
   std::string path_prefix;  // Begins and ends with a slash.
   RequestKind kind = RequestKind::kOnce;
-  Duration timeout{};         // Longest time to a final answer.
-  Duration latency_target{};  // Streams: to the first event.
-  Duration pause_target{};    // Streams: longest pause between events.
+  Duration timeout{};         // Until the final answer.
+  Duration latency_target{};  // Streams: until the first event.
+  Duration pause_target{};    // Streams: longest gap between events.
   Tier tier = 0;
   std::vector<WeightedService> services;
-  int max_attempts = 1;  // Upstreams that one caller attempt may be sent to.
-  bool anonymous = false;
-  bool resumable = false;  // A stream may go on elsewhere.
-  std::string label;       // In the metrics; empty: the tier.
+  int max_attempts = 1;    // Sends to upstreams per caller attempt.
+  bool anonymous = false;  // No client account is required.
+  bool resumable = false;  // A stream may continue on another upstream.
+  std::string label;       // Class in the metrics; empty: the tier.
 };
 
 // Limits of a model engine.
 struct EngineLimits {
-  int slots = 1;
+  int slots = 1;  // Requests that run at the same time.
 };
 
 struct ServiceRule {
   std::string name;
-  int max_connections = 0;  // Per upstream, all callers together.
+  int max_connections = 0;  // To one upstream, from all processes.
   std::optional<EngineLimits> engine;
 };
 
 struct AccountRule {
   std::string name;
   std::vector<std::string> keys;
-  std::optional<Tier> tier;  // Among accounts; the route's where not said.
+  std::optional<Tier> tier;  // Among accounts; unset: the route's tier.
 };
 
 struct RoutingConfig {
@@ -70,35 +72,38 @@
   // Derived by IndexConfig.
   std::unordered_map<std::string, size_t> account_of_key;
   std::unordered_map<std::string, std::vector<size_t>> routes_of_host;
-  std::map<Tier, int> engine_priority;  // By rank.
+  std::map<Tier, int> engine_priority;  // Engine priority by request rank.
 };
 
-// Checks `c` as a whole: known services, distinct places, positive weights
-// and timeouts, no shared key. Errors: InvalidArgument.
+// Checks that all services are known, no two routes have the same host and
+// prefix, weights and timeouts are valid and no key belongs to two accounts.
+// Errors: InvalidArgument.
 absl::Status ValidateConfig(const RoutingConfig& c);
 
-// Fills the derived look-ups. Precondition: ValidateConfig(*c) is Ok.
+// Fills the derived lookup tables. Precondition: ValidateConfig(*c) is Ok.
 void IndexConfig(RoutingConfig* c);
 
-// The route for `host` with the longest prefix that begins `path`, or nullptr.
+// Returns the route of `host` with the longest path prefix that matches `path`,
+// or nullptr. A port in `host` is ignored.
 const RouteRule* FindRoute(const RoutingConfig& c, absl::string_view host,
                            absl::string_view path);
 
-// The account that holds `key`, or nullptr.
+// Returns the account that owns `key`, or nullptr.
 const AccountRule* FindAccount(const RoutingConfig& c, const std::string& key);
 
-// The order in which requests go: by their route's tier, and within it by their
-// account's. A favoured account's summaries must not be served, or stay in an
-// engine, in place of another account's answers that somebody waits for on the
-// spot.
+// Returns the rank of a request; lower ranks are served first. Requests are
+// ranked by the tier of their route, then by the tier of their account: batch
+// work of a preferred account must not delay or displace interactive requests
+// of another account.
 Tier RankOf(Tier route_tier, Tier account_tier);
 
-// What engines are told of `rank`, 0 (first) to 9: in the order of ranks for
-// all that the configuration has. Where these are more than engines tell apart,
-// accounts are not told apart. Precondition: IndexConfig has run.
+// Returns the priority to send to engines for `rank`, from 0 (highest) to 9, in
+// the order of the ranks that occur in the configuration. If there are more
+// ranks than priorities, the tiers of accounts are ignored. Precondition:
+// IndexConfig has run.
 int EnginePriority(const RoutingConfig& c, Tier rank);
 
-// Picks a service by weight; `draw` is uniform in [0, 1).
+// Picks a service of the route by weight; `draw` is uniform in [0, 1).
 const std::string& PickService(const RouteRule& r, double draw);
 
 }  // namespace medlarwalk
