--- a/src/duty/duty_log.cc
+++ b/src/duty/duty_log.cc
@@ -13,18 +13,18 @@
 
 bool DutyLog::Apply(const DutyRecord& r) {
   Subject& s = subjects_[r.subject];
-  bool first = r.number > s.fixed_through;
-  if (first) {
+  bool is_first = r.number > s.fixed_through;
+  if (is_first) {
     s.fixed_through = r.number;
     s.open[r.number] = r.content;
   }
   s.done_through = std::max(s.done_through, r.done_through);
   s.open.erase(s.open.begin(), s.open.upper_bound(s.done_through));
-  while (s.open.size() > kMostOpen) s.open.erase(s.open.begin());
-  return first;
+  while (s.open.size() > kMaxOpen) s.open.erase(s.open.begin());
+  return is_first;
 }
 
-const DutyLog::Subject& DutyLog::Of(const std::string& subject) const {
+const DutyLog::Subject& DutyLog::FindSubject(const std::string& subject) const {
   static const Subject kNothing;
   auto it = subjects_.find(subject);
   return it == subjects_.end() ? kNothing : it->second;
--- a/src/duty/duty_log.h
+++ b/src/duty/duty_log.h
@@ -1,11 +1,12 @@
-// Duties toward outside systems that one host at a time carries out for the
-// whole group: what the group has fixed to be sent, by subject. Part of the
-// replicated state: every replica applies the same records in the same order.
+// Log of duties: calls to outside systems that one host at a time makes for the
+// whole group. It holds the content that the group has committed to send, by
+// subject. The log is part of the replicated state: every replica applies the
+// same records in the same order.
 //
-// Load pattern: a call that was not answered may be carried out seconds later,
-// after those of another holder. What is sent again must be what was sent
-// before, whoever sends it: so a record is committed before its first sending,
-// and the first one committed under a number stands.
+// Load pattern: an unanswered call may be executed seconds later, after calls
+// of another holder. A repeated call must have the same content as the first
+// one, whichever host sends it. So a record is committed before it is first
+// sent, and the first record committed under a number wins.
 #ifndef MEDLARWALK_DUTY_LOG_H_
 #define MEDLARWALK_DUTY_LOG_H_
 
@@ -17,39 +18,42 @@
 
 namespace medlarwalk {
 
-// What is to be sent on one subject, fixed by its commit.
+// The content of one call on a subject. Its commit makes it final.
 struct DutyRecord {
   std::string subject;
-  int64_t number = 0;  // Of what is sent; grows within a subject.
+  int64_t number = 0;  // Sequence number of the call; grows within a subject.
   Document content;    // Never null.
-  // All up to this number has been accepted, as far as the proposer knew.
+  // All calls up to this number were accepted, as far as the proposer knew.
   int64_t done_through = 0;
 };
 
-// Thread safety: none.
+// The committed records of all subjects. Thread safety: none.
 class DutyLog {
  public:
+  // The state of one subject.
   struct Subject {
-    int64_t fixed_through = 0;  // The highest number fixed; 0: none yet.
-    int64_t done_through = 0;
-    std::map<int64_t, Document> open;  // Fixed and not known to be done.
+    int64_t fixed_through = 0;  // The highest committed number; 0: none yet.
+    int64_t done_through = 0;   // All calls up to this number were accepted.
+    // Contents by number: committed, but not known to be accepted.
+    std::map<int64_t, Document> open;
+    // Returns the size of all contents in `open`.
     size_t Bytes() const;
   };
 
-  // Applies a committed record. False when a record of its number, or of a
-  // higher one, was there before it: that one stands.
+  // Applies a committed record. Returns false, and ignores the content, if a
+  // record with the same or a higher number was applied before.
   bool Apply(const DutyRecord& r);
-  // An empty one where nothing is fixed.
-  const Subject& Of(const std::string& subject) const;
+  // Returns the state of `subject`; an empty one if nothing is committed.
+  const Subject& FindSubject(const std::string& subject) const;
   const std::map<std::string, Subject>& subjects() const { return subjects_; }
-  // From a snapshot.
+  // Sets the state of `subject` from a snapshot.
   void Restore(const std::string& subject, Subject s);
-  // Of all contents that are kept.
+  // Returns the size of all open contents of all subjects.
   size_t Bytes() const;
 
  private:
-  // Open records kept; older ones are given up.
-  static constexpr size_t kMostOpen = 64;
+  // Open records per subject; the oldest are dropped above this.
+  static constexpr size_t kMaxOpen = 64;
 
   std::map<std::string, Subject> subjects_;
 };
--- a/src/duty/duty_turn.h
+++ b/src/duty/duty_turn.h
@@ -1,9 +1,10 @@
-// Whether this process may act on a duty now, and under which fencing token.
+// Decides whether this process may act on a duty now, and with which fencing
+// token.
 //
-// The holder is the leader of the group, its term the token: a term has one
-// leader at most, so no two hosts ever send one token. A leader begins only
-// once any holder before it has surely ended: where leaders change quickly,
-// holders would otherwise act in the order A, B, A within one lease.
+// The duty holder is the leader of the group, and its term is the token. A term
+// has at most one leader, so no two hosts ever use the same token. A new leader
+// waits until any previous holder must have stopped. Otherwise hosts could act
+// in the order A, B, A within one lease if leaders change quickly.
 #ifndef MEDLARWALK_DUTY_TURN_H_
 #define MEDLARWALK_DUTY_TURN_H_
 
@@ -15,42 +16,48 @@
 namespace medlarwalk {
 
 struct DutyTurnPolicy {
-  Duration lease{};  // That the outside system knows of.
-  // Beyond it: how long a leader that has lost its quorum may not know, and a
-  // call of its may be under way.
+  // The lease that the outside system grants a holder.
+  Duration lease{};
+  // Added to the lease: covers the time until a leader notices that it has lost
+  // its quorum, and the transit of its last call.
   Duration margin = std::chrono::seconds(1);
-  // A quorum must have confirmed the leadership this lately, counted from when
-  // it was asked: a process that was frozen after it asked asks again.
+  // Maximum age of the quorum's last confirmation of the leadership, counted
+  // from the request for it: a process that was frozen after it sent the
+  // request has to request another confirmation.
   Duration confirmed_for = Millis(250);
 };
 
-// Thread safety: loop thread only.
-class DutyTurn {
+// Tracks this process's leadership. Thread safety: loop thread only.
+class DutyLeadership {
  public:
-  explicit DutyTurn(DutyTurnPolicy policy) : policy_(policy) {}
-
-  // Whether this process leads now, and the term; call regularly.
-  void NoteLead(bool leads, uint64_t term, TimePoint now);
-  // A quorum has confirmed this term's leadership, asked for at `asked_at`.
-  void NoteConfirmed(uint64_t term, TimePoint asked_at);
-  // A holder with a higher token has acted: nothing more under this one.
-  void NoteRefused(uint64_t token);
-  // Whether it has led for as long as `d`.
-  bool LedFor(Duration d, TimePoint now) const {
+  explicit DutyLeadership(DutyTurnPolicy policy) : policy_(policy) {}
+
+  // Records whether this process leads now, and the term. Call regularly.
+  void UpdateLeadership(bool leads, uint64_t term, TimePoint now);
+  // Records that a quorum has confirmed the leadership in `term`. The
+  // confirmation was requested at `asked_at`.
+  void RecordConfirmation(uint64_t term, TimePoint asked_at);
+  // Records that the outside system refused `token`, because a holder with a
+  // higher token has acted. The token is not used again.
+  void RecordRefusal(uint64_t token);
+  // Returns whether this process has led for at least `d`.
+  bool HasLedFor(Duration d, TimePoint now) const {
     return leads_ && now - since_ >= d;
   }
-  // Whether this is the holder, but for a fresh confirmation.
-  bool Holds(TimePoint now) const;
-  // The token to act with now, if this process may.
-  std::optional<uint64_t> Token(TimePoint now) const;
+  // Returns whether this process is the duty holder. A holder may act only
+  // while it also has a recent confirmation: see UsableToken().
+  bool IsHolder(TimePoint now) const;
+  // Returns the token to act with, or nullopt if this process may not act now.
+  std::optional<uint64_t> UsableToken(TimePoint now) const;
+  // Whether the outside system refused the token of this term.
   bool refused() const { return refused_; }
 
  private:
   DutyTurnPolicy policy_;
   bool leads_ = false;
   uint64_t term_ = 0;
-  TimePoint since_{};
-  TimePoint confirmed_at_{};
+  TimePoint since_{};         // When the leadership began.
+  TimePoint confirmed_at_{};  // When the last confirmation was requested.
   bool confirmed_ = false;
   bool refused_ = false;
 };
--- a/src/duty/group_time.cc
+++ b/src/duty/group_time.cc
@@ -27,30 +27,31 @@
     offsets.push_back(it->second.offset_ms);
     ++it;
   }
-  auto middle =
+  auto median =
       offsets.begin() + static_cast<std::ptrdiff_t>(offsets.size() / 2);
-  std::nth_element(offsets.begin(), middle, offsets.end());
-  middle_ = *middle;
-  middle_at_ = now;
+  std::nth_element(offsets.begin(), median, offsets.end());
+  median_offset_ = *median;
+  median_at_ = now;
 }
 
 void GroupTime::NoteTold(int64_t unix_ms, TimePoint now) {
-  while (!told_.empty() && now - told_.front().at > kSampleTrust) {
-    told_.pop_front();
+  while (!received_.empty() && now - received_.front().at > kSampleTrust) {
+    received_.pop_front();
   }
-  told_.push_back({unix_ms - MonotonicMs(now), now});
+  received_.push_back({unix_ms - MonotonicMs(now), now});
 }
 
 std::optional<int64_t> GroupTime::UnixMs(TimePoint at) const {
-  bool told = !told_.empty() &&
-              (!middle_ || middle_at_ - told_.back().at <= kToldTrust);
-  if (!told && !middle_) return std::nullopt;
-  if (!told) return MonotonicMs(at) + *middle_;
-  auto ahead = std::max_element(told_.begin(), told_.end(),
-                                [](const Sample& a, const Sample& b) {
-                                  return a.offset_ms < b.offset_ms;
-                                });
-  return MonotonicMs(at) + ahead->offset_ms;
+  bool use_received =
+      !received_.empty() &&
+      (!median_offset_ || median_at_ - received_.back().at <= kReceivedTrust);
+  if (!use_received && !median_offset_) return std::nullopt;
+  if (!use_received) return MonotonicMs(at) + *median_offset_;
+  auto fastest = std::max_element(received_.begin(), received_.end(),
+                                  [](const Sample& a, const Sample& b) {
+                                    return a.offset_ms < b.offset_ms;
+                                  });
+  return MonotonicMs(at) + fastest->offset_ms;
 }
 
 }  // namespace medlarwalk
--- a/src/duty/group_time.h
+++ b/src/duty/group_time.h
@@ -1,10 +1,10 @@
-// True time as the group has it.
+// The time of day on which the group agrees.
 //
-// Load pattern: the time of day jumps by seconds on some hosts, and back. A
-// process that believed its own would count requests under another window than
-// all others. So nobody does: the leader takes the middle of what those who
-// follow it tell, and everyone else takes it from the leader; between two
-// tellings the monotonic clock goes on.
+// Load pattern: the wall clocks of some hosts jump by seconds and back. A
+// process that used its own wall clock would count requests in a different
+// window than all others. So the leader uses the median of the wall clocks of
+// itself and its followers, and all other processes receive this time from the
+// leader. Between updates the time advances with the monotonic clock.
 #ifndef MEDLARWALK_GROUP_TIME_H_
 #define MEDLARWALK_GROUP_TIME_H_
 
@@ -18,47 +18,50 @@
 
 namespace medlarwalk {
 
-// A host's time of day, in milliseconds since the start of 1970. Passed in, as
-// Clock is.
+// Interface to a host's wall clock, in milliseconds since the Unix epoch. Tests
+// pass their own, as with Clock.
 class WallClock {
  public:
   virtual ~WallClock() = default;
   virtual Millis UnixNow() const = 0;
 };
 
+// The wall clock of the operating system.
 class SystemWallClock : public WallClock {
  public:
   Millis UnixNow() const override;
 };
 
-// Thread safety: loop thread only.
+// Estimates the group's time. Thread safety: loop thread only.
 class GroupTime {
  public:
-  // At `now`, `from` (this process among them) told that its time of day is
-  // `unix_ms`.
+  // Records that the wall clock of process `from` (which may be this process)
+  // showed `unix_ms` at `now`.
   void NoteSample(const std::string& from, int64_t unix_ms, TimePoint now);
-  // At `now`, the process that is followed told the group's time. It goes
-  // before samples until these are newer by kToldTrust: this process has begun
-  // to lead.
+  // Records the group's time, received at `now` from the process that this one
+  // follows. UnixMs() prefers received times to samples until the latest sample
+  // is newer by more than kReceivedTrust. That happens once this process has
+  // become the leader.
   void NoteTold(int64_t unix_ms, TimePoint now);
-  // Milliseconds since the start of 1970 at `at`; nullopt before anything was
-  // told.
+  // Returns the group's time at `at`, in milliseconds since the Unix epoch;
+  // nullopt before any time was recorded.
   std::optional<int64_t> UnixMs(TimePoint at) const;
 
  private:
-  // A sample counts for this long.
+  // Samples and received times older than this are dropped.
   static constexpr auto kSampleTrust = std::chrono::seconds(5);
-  static constexpr auto kToldTrust = std::chrono::seconds(2);
+  // How much older than the latest sample a received time may be.
+  static constexpr auto kReceivedTrust = std::chrono::seconds(2);
   struct Sample {
-    int64_t offset_ms = 0;  // Time of day less the monotonic clock.
-    TimePoint at{};
+    int64_t offset_ms = 0;  // Wall clock minus monotonic clock.
+    TimePoint at{};         // When it was recorded.
   };
   std::map<std::string, Sample> samples_;
-  std::optional<int64_t> middle_;  // Of the samples' offsets.
-  TimePoint middle_at_{};
-  // Told of late. The way here only ever makes what is told seem earlier: the
-  // one furthest ahead came by the fastest way.
-  std::deque<Sample> told_;
+  std::optional<int64_t> median_offset_;  // Of the samples, in ms.
+  TimePoint median_at_{};                 // When it was computed.
+  // Recently received times. Transit only makes a received time appear too
+  // early, so the one with the largest offset had the shortest transit.
+  std::deque<Sample> received_;
 };
 
 }  // namespace medlarwalk
--- a/src/duty/usage_book.cc
+++ b/src/duty/usage_book.cc
@@ -12,7 +12,7 @@
          std::tie(o.window, o.process, o.account);
 }
 
-void UsageBook::Raise(Key key, int64_t count) {
+void UsageBook::RaiseCount(Key key, int64_t count) {
   if (key.window <= dropped_through_) return;
   auto it = cells_.find(key);
   if (it == cells_.end()) {
@@ -30,13 +30,13 @@
                       const std::string& account) {
   Key key{window, process, account};
   auto it = cells_.find(key);
-  int64_t before = it == cells_.end() ? 0 : it->second.count;
-  Raise(std::move(key), before + 1);
+  int64_t previous = it == cells_.end() ? 0 : it->second.count;
+  RaiseCount(std::move(key), previous + 1);
 }
 
-void UsageBook::Join(absl::Span<const UsageRecord> records) {
+void UsageBook::MergeRecords(absl::Span<const UsageRecord> records) {
   for (const UsageRecord& r : records) {
-    Raise({r.window, r.process, r.account}, r.count);
+    RaiseCount({r.window, r.process, r.account}, r.count);
   }
 }
 
@@ -48,7 +48,7 @@
   }
 }
 
-UsageCounts UsageBook::Sum(int64_t window) const {
+UsageCounts UsageBook::SumByAccount(int64_t window) const {
   UsageCounts sum;
   for (auto it = cells_.lower_bound({window, 0, ""});
        it != cells_.end() && it->first.window == window; ++it) {
@@ -57,13 +57,13 @@
   return sum;
 }
 
-size_t UsageBook::Processes(int64_t window) const {
-  std::set<uint64_t> seen;
+size_t UsageBook::CountProcesses(int64_t window) const {
+  std::set<uint64_t> processes;
   for (auto it = cells_.lower_bound({window, 0, ""});
        it != cells_.end() && it->first.window == window; ++it) {
-    seen.insert(it->first.process);
+    processes.insert(it->first.process);
   }
-  return seen.size();
+  return processes.size();
 }
 
 std::optional<int64_t> UsageBook::first_window() const {
@@ -89,16 +89,16 @@
   if (target != target_) Lost();
   target_ = target;
   sent_ = confirmed_;
-  if (told_at_ && now - *told_at_ < interval_) return {};
-  std::vector<UsageRecord> due =
-      book_.ChangedSince(confirmed_, kMostTold, &sent_);
-  if (!due.empty()) told_at_ = now;
-  return due;
+  if (last_report_at_ && now - *last_report_at_ < interval_) return {};
+  std::vector<UsageRecord> report =
+      book_.ChangedSince(confirmed_, kMaxRecordsPerReport, &sent_);
+  if (!report.empty()) last_report_at_ = now;
+  return report;
 }
 
 void UsageReports::Lost() {
   confirmed_ = sent_ = 0;
-  told_at_.reset();
+  last_report_at_.reset();
 }
 
 }  // namespace medlarwalk
--- a/src/duty/usage_book.h
+++ b/src/duty/usage_book.h
@@ -1,8 +1,8 @@
-// Counts of requests that began to run, by window of true time and client
-// account: an entry's own, and at control processes those of all that report
-// there. Each process counts for itself and its counts only grow; they are
-// joined by the greatest, so that it makes no difference how often or through
-// whom they are told.
+// Table of usage counts: requests that started to run, by window of the group's
+// time and client account. An entry holds its own counts; a control process
+// holds the counts of all processes that report to it. Each process has its own
+// counts, which only grow, and merging keeps the larger value. So counts may be
+// reported any number of times and through any other process.
 #ifndef MEDLARWALK_USAGE_BOOK_H_
 #define MEDLARWALK_USAGE_BOOK_H_
 
@@ -20,36 +20,42 @@
 // Requests by client account.
 using UsageCounts = std::map<std::string, int64_t>;
 
-// What one start of one process has counted.
+// The count of one process since its start, for one window and account.
 struct UsageRecord {
-  uint64_t process = 0;  // Drawn at each start.
+  uint64_t process = 0;  // Random id, drawn at each start.
   int64_t window = 0;
   std::string account;
   int64_t count = 0;
 };
 
-// Thread safety: loop thread only.
+// The counts of all known processes. Thread safety: loop thread only.
 class UsageBook {
  public:
-  // `most`: records kept; beyond them new ones are not taken.
+  // `most`: records kept; further records are ignored.
   explicit UsageBook(size_t most = 65536) : most_(most) {}
 
-  // Counts one request.
+  // Adds one request to the count of `process`.
   void Count(uint64_t process, int64_t window, const std::string& account);
-  void Join(absl::Span<const UsageRecord> records);
-  // What is fixed is forgotten, and not taken any more.
+  // Merges the counts of other processes.
+  void MergeRecords(absl::Span<const UsageRecord> records);
+  // Removes all counts up to `window`, which is committed. Later counts for
+  // these windows are ignored.
   void DropThrough(int64_t window);
 
-  UsageCounts Sum(int64_t window) const;
-  // Starts of processes that have counted in it.
-  size_t Processes(int64_t window) const;
+  // Returns the counts of all processes in `window`, by account.
+  UsageCounts SumByAccount(int64_t window) const;
+  // Returns the number of processes with counts in `window`. A restarted
+  // process counts again.
+  size_t CountProcesses(int64_t window) const;
+  // Returns the oldest window with counts; nullopt if there is none.
   std::optional<int64_t> first_window() const;
   size_t size() const { return cells_.size(); }
 
-  // Number of the last change.
+  // Returns the sequence number of the last change.
   uint64_t seq() const { return seq_; }
-  // The first `most` records changed after `seq`, in the order of their last
-  // change; `*through` gets the number of the last one's.
+  // Returns the first `most` records that changed after `seq`, in the order of
+  // their last change. Sets `*through` to the sequence number of the last
+  // returned change, or to `seq` if there is none.
   std::vector<UsageRecord> ChangedSince(uint64_t seq, size_t most,
                                         uint64_t* through) const;
 
@@ -64,41 +70,43 @@
     int64_t count = 0;
     uint64_t seq = 0;
   };
-  void Raise(Key key, int64_t count);
+  // Sets the count of `key` to `count` if that is larger.
+  void RaiseCount(Key key, int64_t count);
 
   size_t most_;
   std::map<Key, Cell> cells_;
-  std::map<uint64_t, Key> by_seq_;
+  std::map<uint64_t, Key> by_seq_;  // Keys by sequence number of last change.
   int64_t dropped_through_ = 0;
   uint64_t seq_ = 0;
 };
 
-// What of a book is not yet known to the process it is reported to. Thread
-// safety: loop thread only.
+// Tracks which usage records the process reported to (the target) has not
+// confirmed yet. Thread safety: loop thread only.
 class UsageReports {
  public:
-  // Precondition: `book` outlives this. `interval`: least time from one telling
-  // to the next; what a process had not told is lost with it.
+  // `interval`: minimum time between two reports. Counts that a process has not
+  // reported are lost if it fails. Precondition: `book` outlives this.
   UsageReports(const UsageBook& book, Duration interval)
       : book_(book), interval_(interval) {}
 
-  // What to tell `target` next.
+  // Returns the records to report to `target` next; none before the interval
+  // has passed.
   std::vector<UsageRecord> For(const std::string& target, TimePoint now);
-  // The target has taken what For returned last.
+  // Records that the target has received the last report.
   void Confirmed() { confirmed_ = sent_; }
-  // The target failed: it may come back with nothing.
+  // Records that the target failed. It may have lost all earlier reports, so
+  // all records are reported again.
   void Lost();
 
  private:
-  // Records told at once.
-  static constexpr size_t kMostTold = 1024;
+  static constexpr size_t kMaxRecordsPerReport = 1024;
 
   const UsageBook& book_;
   Duration interval_;
   std::string target_;
-  std::optional<TimePoint> told_at_;
-  uint64_t sent_ = 0;
-  uint64_t confirmed_ = 0;
+  std::optional<TimePoint> last_report_at_;
+  uint64_t sent_ = 0;       // Sequence number covered by the last report.
+  uint64_t confirmed_ = 0;  // Sequence number that the target has confirmed.
 };
 
 }  // namespace medlarwalk
--- a/src/duty/usage_schedule.cc
+++ b/src/duty/usage_schedule.cc
@@ -17,21 +17,22 @@
   return Millis(unix_ms - (window + 1) * ToMs(policy.window));
 }
 
-std::optional<int64_t> WindowToFix(const DutyLog::Subject& fixed,
-                                   const UsageBook& book, int64_t unix_ms,
-                                   const UsagePolicy& policy) {
+std::optional<int64_t> WindowToCommit(const DutyLog::Subject& subject,
+                                      const UsageBook& book, int64_t unix_ms,
+                                      const UsagePolicy& policy) {
   if (policy.window <= Duration::zero()) return std::nullopt;
-  int64_t next = fixed.fixed_through + 1;
-  if (fixed.fixed_through == 0) {
+  int64_t window = subject.fixed_through + 1;
+  if (subject.fixed_through == 0) {
     std::optional<int64_t> first = book.first_window();
     if (!first) return std::nullopt;
-    next = *first;
+    window = *first;
   }
-  next = std::max(next, WindowAt(unix_ms, policy) - policy.most_behind);
-  Duration wait =
-      std::chrono::duration_cast<Duration>(policy.due * policy.fix_share);
-  if (SinceEnd(next, unix_ms, policy) < wait) return std::nullopt;
-  return next;
+  window =
+      std::max(window, WindowAt(unix_ms, policy) - policy.max_windows_behind);
+  Duration delay = std::chrono::duration_cast<Duration>(
+      policy.due * policy.commit_delay_share);
+  if (SinceEnd(window, unix_ms, policy) < delay) return std::nullopt;
+  return window;
 }
 
 Document EncodeUsage(const UsageCounts& counts) {
@@ -55,35 +56,36 @@
   }
 }
 
-std::optional<int64_t> UsageSendings::Next(const DutyLog::Subject& fixed,
-                                           TimePoint now) const {
-  for (const auto& [window, content] : fixed.open) {
-    auto it = tries_.find(window);
-    if (it == tries_.end()) return window;
-    if (!it->second.accepted && now >= it->second.next) return window;
+std::optional<int64_t> UsageDeliveries::NextToSend(
+    const DutyLog::Subject& subject, TimePoint now) const {
+  for (const auto& [window, content] : subject.open) {
+    auto it = deliveries_.find(window);
+    if (it == deliveries_.end()) return window;
+    if (!it->second.accepted && now >= it->second.retry_at) return window;
   }
   return std::nullopt;
 }
 
-void UsageSendings::NoteAccepted(int64_t window) {
-  tries_[window].accepted = true;
+void UsageDeliveries::RecordAccepted(int64_t window) {
+  deliveries_[window].accepted = true;
 }
 
-void UsageSendings::NoteFailed(int64_t window, TimePoint now) {
-  Try& t = tries_[window];
-  t.pause = t.pause == Duration::zero()
-                ? policy_.first_pause
-                : std::min(2 * t.pause, policy_.most_pause);
-  t.next = now + t.pause;
+void UsageDeliveries::RecordFailed(int64_t window, TimePoint now) {
+  Delivery& d = deliveries_[window];
+  d.retry_delay = d.retry_delay == Duration::zero()
+                      ? policy_.first_retry_delay
+                      : std::min(2 * d.retry_delay, policy_.max_retry_delay);
+  d.retry_at = now + d.retry_delay;
 }
 
-void UsageSendings::Reset() { tries_.clear(); }
+void UsageDeliveries::Reset() { deliveries_.clear(); }
 
-int64_t UsageSendings::DoneThrough(const DutyLog::Subject& fixed) const {
-  int64_t done = fixed.done_through;
-  for (const auto& [window, content] : fixed.open) {
-    auto it = tries_.find(window);
-    if (it == tries_.end() || !it->second.accepted) return done;
+int64_t UsageDeliveries::AcceptedThrough(
+    const DutyLog::Subject& subject) const {
+  int64_t done = subject.done_through;
+  for (const auto& [window, content] : subject.open) {
+    auto it = deliveries_.find(window);
+    if (it == deliveries_.end() || !it->second.accepted) return done;
     done = window;
   }
   return done;
--- a/src/duty/usage_schedule.h
+++ b/src/duty/usage_schedule.h
@@ -1,5 +1,5 @@
-// When the usage of a window is fixed, and which report is sent next. Pure; the
-// time is passed in.
+// Schedule of usage reports: when the counts of a window are committed, and
+// which report is sent next. Does no input or output; the time is a parameter.
 #ifndef MEDLARWALK_USAGE_SCHEDULE_H_
 #define MEDLARWALK_USAGE_SCHEDULE_H_
 
@@ -16,64 +16,73 @@
 
 namespace medlarwalk {
 
-// The subject of usage reports in the duty log; their numbers are windows.
+// The subject of usage reports in the duty log. The number of a report is its
+// window.
 inline constexpr char kUsageSubject[] = "usage";
 
 struct UsagePolicy {
-  Duration window{};  // Length; zero: no usage is reported.
-  Duration due{};     // After a window's end its report must have been sent.
-  // A window is fixed this share of `due` after its end: late enough for what
-  // entries tell late, early enough for a new leader to wait for its turn.
-  // Until then its counts are in the memory of processes alone.
-  double fix_share = 0.25;
-  // Windows that are made up for after the group was away.
-  int64_t most_behind = 32;
-  // Between two sendings of one report.
-  Duration first_pause = Millis(300);
-  Duration most_pause = Millis(2400);
+  Duration window{};  // Length of a window; 0: usage is not reported.
+  Duration due{};     // Deadline of a report, after the end of its window.
+  // A window is committed when this share of `due` has passed since its end.
+  // That is late enough for delayed reports of entries, and early enough for a
+  // new leader, which has to wait before it may send the report. Until the
+  // commit, the counts exist only in the memory of processes.
+  double commit_delay_share = 0.25;
+  // Past windows that are still reported after an outage of the group.
+  int64_t max_windows_behind = 32;
+  // Delay before a failed report is sent again; doubles with each failure.
+  Duration first_retry_delay = Millis(300);
+  Duration max_retry_delay = Millis(2400);
 };
 
-// The window that `unix_ms` lies in.
+// Returns the window that contains `unix_ms`.
 int64_t WindowAt(int64_t unix_ms, const UsagePolicy& policy);
-// From the end of `window` to `unix_ms`; negative before it.
+// Returns the time from the end of `window` to `unix_ms`; negative if `unix_ms`
+// is earlier.
 Millis SinceEnd(int64_t window, int64_t unix_ms, const UsagePolicy& policy);
 
-// The window to be fixed now, if any. Windows follow each other without a gap
-// from the first in which anything was counted; none is left out, as a report
-// that is missing cannot be told from one that was lost.
-std::optional<int64_t> WindowToFix(const DutyLog::Subject& fixed,
-                                   const UsageBook& book, int64_t unix_ms,
-                                   const UsagePolicy& policy);
+// Returns the window whose counts are to be committed now, if any. All windows
+// from the first with counts are committed, without gaps: the receiver could
+// not distinguish a skipped report from a lost one. Only windows that are more
+// than `max_windows_behind` behind are skipped.
+std::optional<int64_t> WindowToCommit(const DutyLog::Subject& subject,
+                                      const UsageBook& book, int64_t unix_ms,
+                                      const UsagePolicy& policy);
 
-// The content of a usage record, and back.
+// Encodes the content of a usage report, as CBOR.
 Document EncodeUsage(const UsageCounts& counts);
-// Errors: InvalidArgument.
+// Decodes the content of a usage report. Errors: InvalidArgument.
 absl::StatusOr<UsageCounts> DecodeUsage(absl::string_view bytes);
 
-// The sendings of one leader's turn. Thread safety: loop thread only.
-class UsageSendings {
+// Tracks the delivery of committed reports during one term of the duty holder.
+// Thread safety: loop thread only.
+class UsageDeliveries {
  public:
-  explicit UsageSendings(UsagePolicy policy) : policy_(policy) {}
+  explicit UsageDeliveries(UsagePolicy policy) : policy_(policy) {}
 
-  // The open report to be sent now, oldest first; nothing while all wait for
-  // their next try.
-  std::optional<int64_t> Next(const DutyLog::Subject& fixed,
-                              TimePoint now) const;
-  void NoteAccepted(int64_t window);
-  void NoteFailed(int64_t window, TimePoint now);
-  // Another leader may have had its turn: what it learnt is in the log.
+  // Returns the window of the oldest open report that is due to be sent;
+  // nullopt while all open reports are accepted or wait for a retry.
+  std::optional<int64_t> NextToSend(const DutyLog::Subject& subject,
+                                    TimePoint now) const;
+  // Records that the report of `window` was accepted.
+  void RecordAccepted(int64_t window);
+  // Records that sending the report of `window` failed, and schedules a retry.
+  void RecordFailed(int64_t window, TimePoint now);
+  // Forgets all deliveries. For a new term: another leader may have sent
+  // reports since, and the log holds what it found accepted.
   void Reset();
-  // All up to it is accepted, by the log and by what was noted here.
-  int64_t DoneThrough(const DutyLog::Subject& fixed) const;
+  // Returns the window up to which all reports are accepted, according to the
+  // log and to the deliveries recorded here.
+  int64_t AcceptedThrough(const DutyLog::Subject& subject) const;
 
  private:
-  struct Try {
-    Duration pause{};
-    TimePoint next{};
+  struct Delivery {
+    Duration retry_delay{};
+    TimePoint retry_at{};
     bool accepted = false;
   };
   UsagePolicy policy_;
-  std::map<int64_t, Try> tries_;
+  std::map<int64_t, Delivery> deliveries_;
 };
 
 }  // namespace medlarwalk
--- a/src/quarantine_store.cc
+++ b/src/quarantine_store.cc
@@ -14,7 +14,9 @@
 
 namespace {
 
-std::string PathIn(const std::string& dir) { return dir + "/quarantine"; }
+std::string QuarantinePath(const std::string& dir) {
+  return dir + "/quarantine";
+}
 
 }  // namespace
 
@@ -22,7 +24,8 @@
                               absl::Span<const CrashRecord> records,
                               TimePoint now, const BeforeWrite& before_write) {
   std::string bytes = FrameRecord(CrashRecordsToJson(records, now));
-  absl::StatusOr<int> fd = ReplaceFile(PathIn(dir), bytes, before_write);
+  absl::StatusOr<int> fd =
+      ReplaceFile(QuarantinePath(dir), bytes, before_write);
   if (!fd.ok()) return fd.status();
   close(*fd);
   return SyncDir(dir);
@@ -30,16 +33,16 @@
 
 std::vector<CrashRecord> LoadCrashRecords(const std::string& dir,
                                           TimePoint now) {
-  absl::StatusOr<std::string> bytes = ReadFile(PathIn(dir));
+  absl::StatusOr<std::string> bytes = ReadFile(QuarantinePath(dir));
   if (!bytes.ok()) return {};
-  size_t taken = 0;
-  std::vector<json> saved = ReadRecords(*bytes, &taken);
-  if (saved.empty()) {
+  size_t bytes_read = 0;
+  std::vector<json> saved_records = ReadRecords(*bytes, &bytes_read);
+  if (saved_records.empty()) {
     LogWarn("quarantine_unreadable", {{"bytes", bytes->size()}});
     return {};
   }
   try {
-    return CrashRecordsFromJson(saved.front(), now);
+    return CrashRecordsFromJson(saved_records.front(), now);
   } catch (const json::exception& e) {
     LogWarn("quarantine_unreadable", {{"error", e.what()}});
     return {};
--- a/src/quarantine_store.h
+++ b/src/quarantine_store.h
@@ -1,5 +1,5 @@
-// The quarantine on disk: one file with a checksum, replaced as a whole. After
-// a loss of power everywhere no process is left that remembers a crash.
+// Storage of crash records: one file with a checksum, replaced as a whole.
+// After a power loss everywhere, no process has crash records in memory.
 #ifndef MEDLARWALK_QUARANTINE_STORE_H_
 #define MEDLARWALK_QUARANTINE_STORE_H_
 
@@ -13,12 +13,12 @@
 
 namespace medlarwalk {
 
-// Blocks until synced. Errors: Unavailable.
+// Replaces the file in `dir`. Blocks until it is synced. Errors: Unavailable.
 absl::Status SaveCrashRecords(const std::string& dir,
                               absl::Span<const CrashRecord> records,
                               TimePoint now, const BeforeWrite& before_write);
 
-// What was saved last; nothing where the file is missing or does not check.
+// Returns the records saved last; none if the file is missing or damaged.
 std::vector<CrashRecord> LoadCrashRecords(const std::string& dir,
                                           TimePoint now);
 
--- a/src/usage_reporter.cc
+++ b/src/usage_reporter.cc
@@ -8,17 +8,20 @@
 namespace medlarwalk {
 namespace {
 
-// A new leader fixes nothing before those who follow it have told it what they
-// hold: a watch, the telling interval, and the same once more.
-constexpr auto kSettle = Millis(1600);
-constexpr auto kOwnTimeInterval = Millis(200);
+// How long a new leader waits before it commits a window, so that followers
+// have reported their counts to it. Covers a watch and a report interval,
+// twice.
+constexpr auto kSettleTime = Millis(1600);
+// Interval between samples of this host's wall clock.
+constexpr auto kOwnSampleInterval = Millis(200);
 constexpr auto kConnectTimeout = Millis(500);
-// After a connection that was not made.
-constexpr auto kConnectPause = Millis(200);
-// A call without an answer is given up after this; it may still be taken.
+// Minimum time between attempts to connect.
+constexpr auto kReconnectDelay = Millis(200);
+// A call without an answer is aborted after this time. The outside system may
+// still execute it.
 constexpr auto kCallTimeout = Millis(1000);
-// Of the calls a second that all processes may make.
-constexpr double kShareOfCalls = 0.5;
+// Share of the allowed duty calls per second that usage reports may use.
+constexpr double kCallRateShare = 0.5;
 
 absl::string_view Name(DutyAnswer a) {
   switch (a) {
@@ -44,21 +47,21 @@
       options_(std::move(options)),
       replica_(std::move(replica)),
       metrics_(metrics),
-      turn_(options_.turn),
-      sendings_(options_.policy) {}
+      leadership_(options_.turn),
+      deliveries_(options_.policy) {}
 
 UsageReporter::~UsageReporter() {
   if (client_) client_->Cancel();
 }
 
-Replica* UsageReporter::Leading() const {
+Replica* UsageReporter::LeadingReplica() const {
   Replica* r = replica_();
   return r && r->role() == ReplicaRole::kLeader ? r : nullptr;
 }
 
 void UsageReporter::TakeReport(const WatchRequest& r) {
-  if (r.unix_ms > 0) time_.NoteSample(r.name, r.unix_ms, clock_.Now());
-  if (!reports() || r.usage.empty()) return;
+  if (r.unix_ms > 0) group_time_.NoteSample(r.name, r.unix_ms, clock_.Now());
+  if (!reports_usage() || r.usage.empty()) return;
   absl::StatusOr<std::vector<UsageRecord>> records =
       DecodeUsageRecords(r.usage);
   if (!records.ok()) {
@@ -66,131 +69,134 @@
             {{"from", r.name}, {"error", records.status().message()}});
     return;
   }
-  book_.Join(*records);
+  book_.MergeRecords(*records);
 }
 
 void UsageReporter::TakeTold(const WatchReply& r) {
-  if (r.unix_ms > 0) time_.NoteTold(r.unix_ms, clock_.Now());
-  told_fixed_ = std::max(told_fixed_, r.usage_fixed);
+  if (r.unix_ms > 0) group_time_.NoteTold(r.unix_ms, clock_.Now());
+  committed_through_ = std::max(committed_through_, r.usage_fixed);
 }
 
 void UsageReporter::Fill(WatchReply* r) const {
-  r->unix_ms = time_.UnixMs(clock_.Now()).value_or(0);
-  if (!reports()) return;
-  r->usage_fixed = told_fixed_;
+  r->unix_ms = group_time_.UnixMs(clock_.Now()).value_or(0);
+  if (!reports_usage()) return;
+  r->usage_fixed = committed_through_;
 }
 
-void UsageReporter::NoteOwnTime(TimePoint now) {
-  if (now - own_time_at_ < kOwnTimeInterval) return;
-  own_time_at_ = now;
-  time_.NoteSample(options_.name, wall_.UnixNow().count(), now);
+void UsageReporter::SampleOwnClock(TimePoint now) {
+  if (now - own_sample_at_ < kOwnSampleInterval) return;
+  own_sample_at_ = now;
+  group_time_.NoteSample(options_.name, wall_.UnixNow().count(), now);
 }
 
 void UsageReporter::Tick() {
   TimePoint now = clock_.Now();
-  NoteOwnTime(now);
-  if (!reports()) return;
-  if (Replica* any = replica_()) {
-    told_fixed_ =
-        std::max(told_fixed_, any->duties().Of(kUsageSubject).fixed_through);
+  SampleOwnClock(now);
+  if (!reports_usage()) return;
+  if (Replica* own_replica = replica_()) {
+    committed_through_ = std::max(
+        committed_through_,
+        own_replica->duties().FindSubject(kUsageSubject).fixed_through);
   }
-  book_.DropThrough(told_fixed_);
-  if (calling_ && now - called_at_ > kCallTimeout) GiveUpCall(now);
-  Replica* r = Leading();
-  turn_.NoteLead(r != nullptr, r ? r->term() : 0, now);
+  book_.DropThrough(committed_through_);
+  if (call_in_flight_ && now - called_at_ > kCallTimeout) AbortCall(now);
+  Replica* r = LeadingReplica();
+  leadership_.UpdateLeadership(r != nullptr, r ? r->term() : 0, now);
   if (!r) return;
-  if (led_term_ != r->term()) sendings_.Reset();
-  led_term_ = r->term();
-  Fix(now);
-  Send(now);
+  if (deliveries_term_ != r->term()) deliveries_.Reset();
+  deliveries_term_ = r->term();
+  CommitDueWindow(now);
+  SendDueReport(now);
 }
 
-void UsageReporter::Fix(TimePoint now) {
-  Replica* r = Leading();
-  if (!r || fixing_ || !turn_.LedFor(kSettle, now)) return;
-  std::optional<int64_t> unix_ms = time_.UnixMs(now);
+void UsageReporter::CommitDueWindow(TimePoint now) {
+  Replica* r = LeadingReplica();
+  if (!r || committing_ || !leadership_.HasLedFor(kSettleTime, now)) return;
+  std::optional<int64_t> unix_ms = group_time_.UnixMs(now);
   if (!unix_ms) return;
-  const DutyLog::Subject& fixed = r->duties().Of(kUsageSubject);
+  const DutyLog::Subject& subject = r->duties().FindSubject(kUsageSubject);
   std::optional<int64_t> window =
-      WindowToFix(fixed, book_, *unix_ms, options_.policy);
+      WindowToCommit(subject, book_, *unix_ms, options_.policy);
   if (!window) return;
-  UsageCounts counts = book_.Sum(*window);
+  UsageCounts counts = book_.SumByAccount(*window);
   LogEvent(
       "usage_fixing",
       {{"window", *window},
        {"accounts", counts.size()},
-       {"processes", book_.Processes(*window)},
+       {"processes", book_.CountProcesses(*window)},
        {"since_end_ms", SinceEnd(*window, *unix_ms, options_.policy).count()},
        {"term", r->term()},
-       {"done_through", sendings_.DoneThrough(fixed)}});
-  fixing_ = true;
+       {"done_through", deliveries_.AcceptedThrough(subject)}});
+  committing_ = true;
   DutyRecord record{kUsageSubject, *window, EncodeUsage(counts),
-                    sendings_.DoneThrough(fixed)};
+                    deliveries_.AcceptedThrough(subject)};
   r->ProposeDuty(std::move(record),
                  [this, window = *window, now](const absl::Status& s) {
-                   NoteFixed(window, now, s);
+                   OnWindowCommitted(window, now, s);
                  });
 }
 
-void UsageReporter::NoteFixed(int64_t window, TimePoint began,
-                              const absl::Status& s) {
-  fixing_ = false;
+void UsageReporter::OnWindowCommitted(int64_t window, TimePoint began_at,
+                                      const absl::Status& s) {
+  committing_ = false;
   metrics_.CountDuty("usage_fixed", s.ok() ? "ok" : "unavailable");
   LogEvent("usage_fixed", {{"window", window},
-                           {"ms", ToMs(clock_.Now() - began)},
+                           {"ms", ToMs(clock_.Now() - began_at)},
                            {"outcome", s.ok() ? "ok" : s.message()}});
 }
 
-void UsageReporter::Send(TimePoint now) {
-  Replica* r = Leading();
-  if (!r || calling_ || !turn_.Holds(now)) return;
+void UsageReporter::SendDueReport(TimePoint now) {
+  Replica* r = LeadingReplica();
+  if (!r || call_in_flight_ || !leadership_.IsHolder(now)) return;
   if (options_.calls_per_s > 0 &&
       now - called_at_ <
-          BoundedSeconds(1 / (options_.calls_per_s * kShareOfCalls))) {
+          BoundedSeconds(1 / (options_.calls_per_s * kCallRateShare))) {
     return;
   }
-  const DutyLog::Subject& fixed = r->duties().Of(kUsageSubject);
-  std::optional<int64_t> window = sendings_.Next(fixed, now);
-  // Connected first: the confirmation must be fresh when the call leaves.
-  if (!window || !Connected(now)) return;
-  std::optional<uint64_t> token = turn_.Token(now);
+  const DutyLog::Subject& subject = r->duties().FindSubject(kUsageSubject);
+  std::optional<int64_t> window = deliveries_.NextToSend(subject, now);
+  // Connects first, because the confirmation must be recent when the call is
+  // sent.
+  if (!window || !EnsureConnected(now)) return;
+  std::optional<uint64_t> token = leadership_.UsableToken(now);
   if (token) {
-    Call(*window, *token, now);
+    SendReport(*window, *token, now);
   } else {
-    Confirm(now);
+    RequestConfirmation(now);
   }
 }
 
-bool UsageReporter::Connected(TimePoint now) {
+bool UsageReporter::EnsureConnected(TimePoint now) {
   if (client_ && client_->open()) return client_->established();
-  if (now < connect_not_before_) return false;
-  connect_not_before_ = now + kConnectPause;
+  if (now < next_connect_at_) return false;
+  next_connect_at_ = now + kReconnectDelay;
   client_ = Http1Client::Open(loop_, clock_, options_.at, kConnectTimeout);
   return false;
 }
 
-void UsageReporter::Confirm(TimePoint now) {
-  Replica* r = Leading();
-  if (!r || confirming_) return;
-  confirming_ = true;
+void UsageReporter::RequestConfirmation(TimePoint now) {
+  Replica* r = LeadingReplica();
+  if (!r || confirmation_pending_) return;
+  confirmation_pending_ = true;
   r->ReadBarrier([this, term = r->term(), now](const absl::Status& s) {
-    confirming_ = false;
+    confirmation_pending_ = false;
     if (!s.ok()) return;
-    turn_.NoteConfirmed(term, now);
-    Send(clock_.Now());
+    leadership_.RecordConfirmation(term, now);
+    SendDueReport(clock_.Now());
   });
 }
 
-void UsageReporter::Call(int64_t window, uint64_t token, TimePoint now) {
-  const DutyLog::Subject& fixed = Leading()->duties().Of(kUsageSubject);
-  absl::StatusOr<UsageCounts> counts = DecodeUsage(*fixed.open.at(window));
+void UsageReporter::SendReport(int64_t window, uint64_t token, TimePoint now) {
+  const DutyLog::Subject& subject =
+      LeadingReplica()->duties().FindSubject(kUsageSubject);
+  absl::StatusOr<UsageCounts> counts = DecodeUsage(*subject.open.at(window));
   if (!counts.ok()) {
     LogWarn("usage_unreadable",
             {{"window", window}, {"error", counts.status().message()}});
-    sendings_.NoteAccepted(window);
+    deliveries_.RecordAccepted(window);
     return;
   }
-  calling_ = true;
+  call_in_flight_ = true;
   called_window_ = window;
   called_token_ = token;
   called_at_ = now;
@@ -205,29 +211,29 @@
   };
   call.on_body = [](absl::string_view) {};
   call.on_end = [this, window, token](CallEnd end, absl::string_view) {
-    CallEnded(window, token, end == CallEnd::kWhole);
+    OnCallEnded(window, token, end == CallEnd::kWhole);
   };
   client_->Start(std::move(call));
 }
 
-void UsageReporter::GiveUpCall(TimePoint now) {
+void UsageReporter::AbortCall(TimePoint now) {
   client_->Cancel();
   client_.reset();
-  connect_not_before_ = now;
+  next_connect_at_ = now;
   status_ = 0;
-  CallEnded(called_window_, called_token_, false);
+  OnCallEnded(called_window_, called_token_, false);
 }
 
-void UsageReporter::CallEnded(int64_t window, uint64_t token, bool whole) {
-  if (!calling_) return;
-  calling_ = false;
+void UsageReporter::OnCallEnded(int64_t window, uint64_t token, bool complete) {
+  if (!call_in_flight_) return;
+  call_in_flight_ = false;
   TimePoint now = clock_.Now();
-  DutyAnswer answer = whole ? options_.read(status_) : DutyAnswer::kFailed;
-  if (answer == DutyAnswer::kAccepted) sendings_.NoteAccepted(window);
-  if (answer == DutyAnswer::kRefused) turn_.NoteRefused(token);
-  if (answer == DutyAnswer::kFailed) sendings_.NoteFailed(window, now);
+  DutyAnswer answer = complete ? options_.read(status_) : DutyAnswer::kFailed;
+  if (answer == DutyAnswer::kAccepted) deliveries_.RecordAccepted(window);
+  if (answer == DutyAnswer::kRefused) leadership_.RecordRefusal(token);
+  if (answer == DutyAnswer::kFailed) deliveries_.RecordFailed(window, now);
   metrics_.CountDuty("usage_sent", Name(answer));
-  std::optional<int64_t> unix_ms = time_.UnixMs(now);
+  std::optional<int64_t> unix_ms = group_time_.UnixMs(now);
   LogEvent(
       "usage_sent",
       {{"window", window},
--- a/src/usage_reporter.h
+++ b/src/usage_reporter.h
@@ -1,7 +1,7 @@
-// Reports usage to an outside system, one host for the whole group: joins what
-// entries have counted, has a window's report committed, and sends what is
-// committed. What is decided when lies in duty_turn and usage_schedule; this
-// does the input and output.
+// Reports usage to an outside system; one host does it for the whole group. The
+// reporter merges the counts of entries, has the report of a window committed
+// and sends committed reports. It does the input and output; the leadership and
+// schedule classes of the duty folder decide who sends what and when.
 #ifndef MEDLARWALK_USAGE_REPORTER_H_
 #define MEDLARWALK_USAGE_REPORTER_H_
 
@@ -22,39 +22,40 @@
 
 namespace medlarwalk {
 
-// What an answer to a report says of it.
+// The outcome of a report, from the outside system's answer.
 enum class DutyAnswer {
   kAccepted,
-  kRefused,  // A holder with a higher token has acted.
-  kFailed,   // It may or may not have been taken, or will be later.
+  kRefused,  // A holder with a higher token has acted before.
+  kFailed,   // Unknown: the report may be accepted already, or later.
 };
 
-// Who sends a report, and under which token.
+// The sender of a report and its fencing token.
 struct DutyCaller {
   std::string holder;
   uint64_t token = 0;
 };
 
-// Where reports go, and how they are written there.
+// The destination of reports and their format.
 struct UsageOptions {
-  std::string name;  // Of this process's host, as a holder.
-  Endpoint at;
-  UsagePolicy policy;  // No window: this process reports nothing.
-  DutyTurnPolicy turn;
-  // Calls on duties a second that the outside system takes from all processes;
-  // 0: any number.
+  std::string name;     // Of this process's host, as the duty holder.
+  Endpoint at;          // The outside system.
+  UsagePolicy policy;   // With window 0 this process reports no usage.
+  DutyTurnPolicy turn;  // When this process may hold the duty.
+  // Duty calls per second that the outside system accepts from all processes
+  // together; 0: no limit.
   double calls_per_s = 0;
-  // The request's body is a view of `*body`.
+  // Writes the request for a report. Its body is a view of `*body`.
   std::function<OutgoingRequest(const DutyCaller&, int64_t window,
                                 const UsageCounts&, std::string* body)>
       encode;
+  // Interprets the HTTP status of an answer.
   std::function<DutyAnswer(int status)> read;
 };
 
-// Thread safety: loop thread only.
+// Collects, commits and sends usage reports. Thread safety: loop thread only.
 class UsageReporter {
  public:
-  // `replica`: this process's, or null while it has none.
+  // `replica`: returns this process's replica, or null while it has none.
   UsageReporter(struct ev_loop* loop, const Clock& clock, const WallClock& wall,
                 UsageOptions options, std::function<Replica*()> replica,
                 ControlMetrics& metrics);
@@ -62,33 +63,39 @@
   UsageReporter(const UsageReporter&) = delete;
   UsageReporter& operator=(const UsageReporter&) = delete;
 
-  // Joins what a follower told with its watch.
+  // Takes over the wall clock time and the counts that a follower reports with
+  // its watch.
   void TakeReport(const WatchRequest& r);
-  // Takes what the process that is followed told, in step with a leader.
+  // Takes over the group's time and the committed window published by the
+  // process that this one follows. Precondition: that process is up to date
+  // with a leader.
   void TakeTold(const WatchReply& r);
-  // Sets in `r` what followers are told.
+  // Sets the group's time and the committed window in `r`, for followers.
   void Fill(WatchReply* r) const;
+  // Does all due work. Call regularly.
   void Tick();
   const UsageBook& book() const { return book_; }
 
  private:
-  bool reports() const {
+  bool reports_usage() const {
     return options_.policy.window > Duration::zero() && options_.encode;
   }
-  void NoteOwnTime(TimePoint now);
-  // Has the window that is due committed.
-  void Fix(TimePoint now);
-  void NoteFixed(int64_t window, TimePoint began, const absl::Status& s);
-  // Sends the oldest committed report that is due.
-  void Send(TimePoint now);
-  // Whether a call can be made at once.
-  bool Connected(TimePoint now);
-  void Confirm(TimePoint now);
-  void Call(int64_t window, uint64_t token, TimePoint now);
-  void CallEnded(int64_t window, uint64_t token, bool whole);
-  void GiveUpCall(TimePoint now);
-  // Of this process's replica, if it leads.
-  Replica* Leading() const;
+  void SampleOwnClock(TimePoint now);
+  // Proposes the counts of the window that is due, if any, for commit.
+  void CommitDueWindow(TimePoint now);
+  void OnWindowCommitted(int64_t window, TimePoint began_at,
+                         const absl::Status& s);
+  // Sends the oldest committed report that is due, if any.
+  void SendDueReport(TimePoint now);
+  // Returns whether a connection is established; opens one if there is none.
+  bool EnsureConnected(TimePoint now);
+  // Has a quorum confirm the leadership, then sends the due report.
+  void RequestConfirmation(TimePoint now);
+  void SendReport(int64_t window, uint64_t token, TimePoint now);
+  void OnCallEnded(int64_t window, uint64_t token, bool complete);
+  void AbortCall(TimePoint now);
+  // Returns this process's replica if it is the leader, else null.
+  Replica* LeadingReplica() const;
 
   struct ev_loop* loop_;
   const Clock& clock_;
@@ -96,23 +103,23 @@
   UsageOptions options_;
   std::function<Replica*()> replica_;
   ControlMetrics& metrics_;
-  GroupTime time_;
+  GroupTime group_time_;
   UsageBook book_;
-  DutyTurn turn_;
-  UsageSendings sendings_;
-  int64_t told_fixed_ = 0;
-  uint64_t led_term_ = 0;  // That the sendings belong to.
-  TimePoint own_time_at_{};
-  bool fixing_ = false;
-  bool confirming_ = false;
+  DutyLeadership leadership_;
+  UsageDeliveries deliveries_;
+  int64_t committed_through_ = 0;  // Last committed window known here.
+  uint64_t deliveries_term_ = 0;   // Term that `deliveries_` belongs to.
+  TimePoint own_sample_at_{};
+  bool committing_ = false;
+  bool confirmation_pending_ = false;
   std::shared_ptr<Http1Client> client_;
-  TimePoint connect_not_before_{};
-  // The call under way.
-  bool calling_ = false;
+  TimePoint next_connect_at_{};
+  // The call in flight.
+  bool call_in_flight_ = false;
   int64_t called_window_ = 0;
   uint64_t called_token_ = 0;
   TimePoint called_at_{};
-  int status_ = 0;
+  int status_ = 0;  // HTTP status of the answer; 0: none yet.
 };
 
 }  // namespace medlarwalk
--- a/test/duty/duty_test.cc
+++ b/test/duty/duty_test.cc
@@ -42,23 +42,23 @@
   CHECK_TRUE(log.Apply({"usage", 7, Content("a"), 0}));
   CHECK_FALSE(log.Apply({"usage", 7, Content("b"), 0}));
   CHECK_FALSE(log.Apply({"usage", 6, Content("c"), 0}));
-  const DutyLog::Subject& s = log.Of("usage");
+  const DutyLog::Subject& s = log.FindSubject("usage");
   LONGS_EQUAL(7, s.fixed_through);
   LONGS_EQUAL(1, static_cast<long>(s.open.size()));
   STRCMP_EQUAL("a", s.open.at(7)->c_str());
   // What is done is not kept, and the other subjects are not touched.
   log.Apply({"scale", 1, Content("x"), 0});
   log.Apply({"usage", 8, Content("d"), 7});
-  LONGS_EQUAL(1, static_cast<long>(log.Of("usage").open.size()));
-  LONGS_EQUAL(1, log.Of("scale").fixed_through);
+  LONGS_EQUAL(1, static_cast<long>(log.FindSubject("usage").open.size()));
+  LONGS_EQUAL(1, log.FindSubject("scale").fixed_through);
 }
 
 // Guards against memory that grows while the platform is away for hours.
 TEST(duty, OpenRecordsAreBounded) {
   DutyLog log;
   for (int64_t n = 1; n <= 1000; ++n) log.Apply({"usage", n, Content("x"), 0});
-  LONGS_EQUAL(64, static_cast<long>(log.Of("usage").open.size()));
-  LONGS_EQUAL(1000, log.Of("usage").open.rbegin()->first);
+  LONGS_EQUAL(64, static_cast<long>(log.FindSubject("usage").open.size()));
+  LONGS_EQUAL(1000, log.FindSubject("usage").open.rbegin()->first);
 }
 
 // Guards against the order A, B, A within a lease: A leads, loses to B, leads
@@ -66,22 +66,22 @@
 TEST(duty, ALeaderWaitsUntilAnyHolderBeforeItHasEnded) {
   DutyTurnPolicy p;
   p.lease = 3 * kSecond;
-  DutyTurn turn(p);
+  DutyLeadership leadership(p);
   TimePoint now{};
   now += kSecond;
-  turn.NoteLead(true, 4, now);
+  leadership.UpdateLeadership(true, 4, now);
   now += Millis(3900);
-  turn.NoteLead(true, 4, now);
-  turn.NoteConfirmed(4, now);
-  CHECK_FALSE(turn.Token(now).has_value());
+  leadership.UpdateLeadership(true, 4, now);
+  leadership.RecordConfirmation(4, now);
+  CHECK_FALSE(leadership.UsableToken(now).has_value());
   now += Millis(100);
-  turn.NoteConfirmed(4, now);
-  LONGS_EQUAL(4, static_cast<long>(turn.Token(now).value_or(0)));
-  turn.NoteLead(false, 5, now);
-  CHECK_FALSE(turn.Token(now).has_value());
-  turn.NoteLead(true, 6, now);
-  turn.NoteConfirmed(6, now);
-  CHECK_FALSE(turn.Token(now).has_value());
+  leadership.RecordConfirmation(4, now);
+  LONGS_EQUAL(4, static_cast<long>(leadership.UsableToken(now).value_or(0)));
+  leadership.UpdateLeadership(false, 5, now);
+  CHECK_FALSE(leadership.UsableToken(now).has_value());
+  leadership.UpdateLeadership(true, 6, now);
+  leadership.RecordConfirmation(6, now);
+  CHECK_FALSE(leadership.UsableToken(now).has_value());
 }
 
 // Guards against a call by a process that was frozen after it had asked whether
@@ -89,34 +89,34 @@
 TEST(duty, AConfirmationThatWasAskedForLongAgoIsNone) {
   DutyTurnPolicy p;
   p.lease = kSecond;
-  DutyTurn turn(p);
+  DutyLeadership leadership(p);
   TimePoint now{};
-  turn.NoteLead(true, 1, now);
+  leadership.UpdateLeadership(true, 1, now);
   now += 5 * kSecond;
   TimePoint asked = now;
   now += 2 * kSecond;
-  turn.NoteConfirmed(1, asked);
-  CHECK_FALSE(turn.Token(now).has_value());
+  leadership.RecordConfirmation(1, asked);
+  CHECK_FALSE(leadership.UsableToken(now).has_value());
   // One for another term neither.
-  turn.NoteConfirmed(2, now);
-  CHECK_FALSE(turn.Token(now).has_value());
+  leadership.RecordConfirmation(2, now);
+  CHECK_FALSE(leadership.UsableToken(now).has_value());
 }
 
 TEST(duty, ARefusedTokenIsNotUsedAgain) {
   DutyTurnPolicy p;
-  DutyTurn turn(p);
+  DutyLeadership leadership(p);
   TimePoint now{};
   now += kSecond;
-  turn.NoteLead(true, 1, now);
+  leadership.UpdateLeadership(true, 1, now);
   now += 5 * kSecond;
-  turn.NoteConfirmed(1, now);
-  CHECK_TRUE(turn.Token(now).has_value());
-  turn.NoteRefused(1);
-  CHECK_FALSE(turn.Token(now).has_value());
-  turn.NoteLead(true, 2, now);
+  leadership.RecordConfirmation(1, now);
+  CHECK_TRUE(leadership.UsableToken(now).has_value());
+  leadership.RecordRefusal(1);
+  CHECK_FALSE(leadership.UsableToken(now).has_value());
+  leadership.UpdateLeadership(true, 2, now);
   now += 5 * kSecond;
-  turn.NoteConfirmed(2, now);
-  CHECK_TRUE(turn.Token(now).has_value());
+  leadership.RecordConfirmation(2, now);
+  CHECK_TRUE(leadership.UsableToken(now).has_value());
 }
 
 // Guards against a clock that jumps on some hosts, the leader's own among them:
@@ -126,7 +126,7 @@
   TimePoint now{};
   now += 100 * kSecond;
   const int64_t kUnix = 1'000'000'000;
-  auto hear = [&](int64_t jump) {
+  auto record_samples = [&](int64_t jump) {
     for (int host = 0; host < 7; ++host) {
       t.NoteSample(
           std::to_string(host),
@@ -134,11 +134,11 @@
           now);
     }
   };
-  hear(0);
+  record_samples(0);
   int64_t before = *t.UnixMs(now) - ToMs(now.time_since_epoch());
   for (int64_t jump : {2000, -2000, 0}) {
     now += kSecond;
-    hear(jump);
+    record_samples(jump);
     int64_t after = *t.UnixMs(now) - ToMs(now.time_since_epoch());
     CHECK_TRUE(std::abs(after - before) <= 3);
   }
@@ -191,22 +191,22 @@
   UsageBook leader;
   UsageReports reports(entry, Duration::zero());
   TimePoint now{};
-  left.Join(reports.For("left", now));
+  left.MergeRecords(reports.For("left", now));
   entry.Count(1, 10, "a");
   // The left one fails before it answers: the right one is told all.
   reports.Lost();
-  right.Join(reports.For("right", now));
+  right.MergeRecords(reports.For("right", now));
   reports.Confirmed();
   CHECK_TRUE(reports.For("right", now).empty());
   uint64_t through = 0;
-  leader.Join(right.ChangedSince(0, 100, &through));
-  leader.Join(left.ChangedSince(0, 100, &through));
-  LONGS_EQUAL(4, leader.Sum(10).at("a"));
-  LONGS_EQUAL(1, leader.Sum(11).at("a"));
+  leader.MergeRecords(right.ChangedSince(0, 100, &through));
+  leader.MergeRecords(left.ChangedSince(0, 100, &through));
+  LONGS_EQUAL(4, leader.SumByAccount(10).at("a"));
+  LONGS_EQUAL(1, leader.SumByAccount(11).at("a"));
   // A new start of the entry counts for itself.
-  leader.Join(std::vector<UsageRecord>{{2, 10, "a", 5}});
-  LONGS_EQUAL(9, leader.Sum(10).at("a"));
-  LONGS_EQUAL(2, static_cast<long>(leader.Processes(10)));
+  leader.MergeRecords(std::vector<UsageRecord>{{2, 10, "a", 5}});
+  LONGS_EQUAL(9, leader.SumByAccount(10).at("a"));
+  LONGS_EQUAL(2, static_cast<long>(leader.CountProcesses(10)));
 }
 
 // Guards against a report that is raised after it was fixed, and against memory
@@ -233,13 +233,13 @@
   TimePoint now{};
   now += kSecond;
   for (int i = 0; i < 10; ++i) {
-    control.Join(reports.For("c", now));
+    control.MergeRecords(reports.For("c", now));
     reports.Confirmed();
     CHECK_TRUE(reports.For("c", now + Millis(100)).empty());
     reports.Confirmed();
     now += kSecond;
   }
-  LONGS_EQUAL(5000, static_cast<long>(control.Sum(10).size()));
+  LONGS_EQUAL(5000, static_cast<long>(control.SumByAccount(10).size()));
 }
 
 // Guards against a gap in the windows when the group was away, and against a
@@ -248,14 +248,14 @@
   UsagePolicy p = FiveSeconds();
   DutyLog::Subject s;
   UsageBook book;
-  CHECK_FALSE(WindowToFix(s, book, 1'000'000, p).has_value());
+  CHECK_FALSE(WindowToCommit(s, book, 1'000'000, p).has_value());
   book.Count(1, 200, "a");
-  CHECK_FALSE(WindowToFix(s, book, 1'007'499, p).has_value());
-  LONGS_EQUAL(200, *WindowToFix(s, book, 1'007'500, p));
+  CHECK_FALSE(WindowToCommit(s, book, 1'007'499, p).has_value());
+  LONGS_EQUAL(200, *WindowToCommit(s, book, 1'007'500, p));
   s.fixed_through = 200;
-  CHECK_FALSE(WindowToFix(s, book, 1'007'500, p).has_value());
-  LONGS_EQUAL(201, *WindowToFix(s, book, 1'099'000, p));
-  LONGS_EQUAL(400 - p.most_behind, *WindowToFix(s, book, 2'000'000, p));
+  CHECK_FALSE(WindowToCommit(s, book, 1'007'500, p).has_value());
+  LONGS_EQUAL(201, *WindowToCommit(s, book, 1'099'000, p));
+  LONGS_EQUAL(400 - p.max_windows_behind, *WindowToCommit(s, book, 2'000'000, p));
 }
 
 // A report that is not answered is sent again, later each time, and does not
@@ -265,20 +265,20 @@
   DutyLog log;
   log.Apply({kUsageSubject, 1, EncodeUsage({{"a", 1}}), 0});
   log.Apply({kUsageSubject, 2, EncodeUsage({{"a", 2}}), 0});
-  const DutyLog::Subject& s = log.Of(kUsageSubject);
-  UsageSendings sendings(p);
+  const DutyLog::Subject& s = log.FindSubject(kUsageSubject);
+  UsageDeliveries deliveries(p);
   TimePoint now{};
   now += kSecond;
-  LONGS_EQUAL(1, *sendings.Next(s, now));
-  sendings.NoteFailed(1, now);
-  LONGS_EQUAL(2, *sendings.Next(s, now));
-  sendings.NoteAccepted(2);
-  CHECK_FALSE(sendings.Next(s, now).has_value());
-  LONGS_EQUAL(0, sendings.DoneThrough(s));
+  LONGS_EQUAL(1, *deliveries.NextToSend(s, now));
+  deliveries.RecordFailed(1, now);
+  LONGS_EQUAL(2, *deliveries.NextToSend(s, now));
+  deliveries.RecordAccepted(2);
+  CHECK_FALSE(deliveries.NextToSend(s, now).has_value());
+  LONGS_EQUAL(0, deliveries.AcceptedThrough(s));
   now += kSecond;
-  LONGS_EQUAL(1, *sendings.Next(s, now));
-  sendings.NoteAccepted(1);
-  LONGS_EQUAL(2, sendings.DoneThrough(s));
+  LONGS_EQUAL(1, *deliveries.NextToSend(s, now));
+  deliveries.RecordAccepted(1);
+  LONGS_EQUAL(2, deliveries.AcceptedThrough(s));
 }
 
 TEST(duty, CountsComeBackAsTheyWereFixed) {
@@ -331,8 +331,8 @@
 
  private:
   struct Host {
-    DutyTurn turn{TurnPolicy()};
-    UsageSendings sendings{FiveSeconds()};
+    DutyLeadership leadership{TurnPolicy()};
+    UsageDeliveries deliveries{FiveSeconds()};
     bool confirming = false;
   };
   static ReplicaOptions FoldingOptions() {
@@ -350,27 +350,27 @@
     Host& h = hosts_[static_cast<size_t>(i)];
     Replica* r = group.node(i);
     bool leads = r->role() == ReplicaRole::kLeader;
-    h.turn.NoteLead(leads, r->term(), now);
+    h.leadership.UpdateLeadership(leads, r->term(), now);
     if (!leads) return;
-    const DutyLog::Subject& s = r->duties().Of(kUsageSubject);
+    const DutyLog::Subject& s = r->duties().FindSubject(kUsageSubject);
     UsageBook counted;
     counted.Count(1, first_, "a");
     std::optional<int64_t> due =
-        WindowToFix(s, counted, ToMs(now.time_since_epoch()), FiveSeconds());
+        WindowToCommit(s, counted, ToMs(now.time_since_epoch()), FiveSeconds());
     if (due) {
       UsageCounts counts = {{"a", Draw(1'000'000)}};
       r->ProposeDuty(
-          {kUsageSubject, *due, EncodeUsage(counts), h.sendings.DoneThrough(s)},
+          {kUsageSubject, *due, EncodeUsage(counts), h.deliveries.AcceptedThrough(s)},
           [](const absl::Status&) {});
     }
-    std::optional<int64_t> next = h.sendings.Next(s, now);
-    if (!next || !h.turn.Holds(now)) return;
-    if (std::optional<uint64_t> token = h.turn.Token(now)) {
+    std::optional<int64_t> next = h.deliveries.NextToSend(s, now);
+    if (!next || !h.leadership.IsHolder(now)) return;
+    if (std::optional<uint64_t> token = h.leadership.UsableToken(now)) {
       Call(i, *next, *token, *DecodeUsage(*s.open.at(*next)), now);
       return;
     }
     r->ReadBarrier([this, i, term = r->term(), now](const absl::Status& st) {
-      if (st.ok()) hosts_[static_cast<size_t>(i)].turn.NoteConfirmed(term, now);
+      if (st.ok()) hosts_[static_cast<size_t>(i)].leadership.RecordConfirmation(term, now);
     });
   }
 
@@ -382,13 +382,13 @@
     int how = calm ? 9 : Draw(10);
     if (how < 3) {
       late_.emplace(now + Millis(2000 + Draw(10000)), c);
-      h.sendings.NoteFailed(window, now);
+      h.deliveries.RecordFailed(window, now);
     } else if (!judge.CarryOut(c)) {
-      h.turn.NoteRefused(token);
+      h.leadership.RecordRefusal(token);
     } else if (how < 5) {
-      h.sendings.NoteFailed(window, now);  // The answer is lost.
+      h.deliveries.RecordFailed(window, now);  // The answer is lost.
     } else {
-      h.sendings.NoteAccepted(window);
+      h.deliveries.RecordAccepted(window);
     }
   }
 
