--- a/test/duty/duty_test.cc
+++ b/test/duty/duty_test.cc
@@ -1,6 +1,6 @@
-// Duties: what is fixed, who may act, whose time is believed, what is counted.
-// The replay at the end lets a whole group report to a platform that carries
-// calls out late, on a manual clock.
+// Tests of duties: the log, leadership, the group's time and usage counts. The
+// simulation at the end runs a whole group on a manual clock. The group reports
+// to a platform that executes calls late.
 #include <memory>
 #include <random>
 
@@ -24,7 +24,7 @@
   return std::make_shared<const std::string>(text);
 }
 
-UsagePolicy FiveSeconds() {
+UsagePolicy FiveSecondWindows() {
   UsagePolicy p;
   p.window = 5 * kSecond;
   p.due = 10 * kSecond;
@@ -35,9 +35,9 @@
 
 TEST_GROUP(duty){};
 
-// Guards against two contents under one number: two leaders propose each its
-// own, and both are committed in the end.
-TEST(duty, TheFirstContentOfANumberStands) {
+// Guards against two contents under one number: two leaders each propose one,
+// and both proposals are committed in the end.
+TEST(duty, FirstContentOfANumberWins) {
   DutyLog log;
   CHECK_TRUE(log.Apply({"usage", 7, Content("a"), 0}));
   CHECK_FALSE(log.Apply({"usage", 7, Content("b"), 0}));
@@ -46,24 +46,24 @@
   LONGS_EQUAL(7, s.fixed_through);
   LONGS_EQUAL(1, static_cast<long>(s.open.size()));
   STRCMP_EQUAL("a", s.open.at(7)->c_str());
-  // What is done is not kept, and the other subjects are not touched.
+  // Accepted contents are removed, and other subjects are not affected.
   log.Apply({"scale", 1, Content("x"), 0});
   log.Apply({"usage", 8, Content("d"), 7});
   LONGS_EQUAL(1, static_cast<long>(log.FindSubject("usage").open.size()));
   LONGS_EQUAL(1, log.FindSubject("scale").fixed_through);
 }
 
-// Guards against memory that grows while the platform is away for hours.
-TEST(duty, OpenRecordsAreBounded) {
+// Guards against memory growth while the platform is unreachable for hours.
+TEST(duty, LimitsOpenRecords) {
   DutyLog log;
   for (int64_t n = 1; n <= 1000; ++n) log.Apply({"usage", n, Content("x"), 0});
   LONGS_EQUAL(64, static_cast<long>(log.FindSubject("usage").open.size()));
   LONGS_EQUAL(1000, log.FindSubject("usage").open.rbegin()->first);
 }
 
-// Guards against the order A, B, A within a lease: A leads, loses to B, leads
-// again, all within a second.
-TEST(duty, ALeaderWaitsUntilAnyHolderBeforeItHasEnded) {
+// Guards against calls in the order A, B, A within a lease: A leads, B takes
+// over and A leads again, all within a second.
+TEST(duty, NewLeaderWaitsForPreviousHolderToStop) {
   DutyTurnPolicy p;
   p.lease = 3 * kSecond;
   DutyLeadership leadership(p);
@@ -84,9 +84,9 @@
   CHECK_FALSE(leadership.UsableToken(now).has_value());
 }
 
-// Guards against a call by a process that was frozen after it had asked whether
-// it still leads, and wakes up with the answer.
-TEST(duty, AConfirmationThatWasAskedForLongAgoIsNone) {
+// Guards against a call by a process that was frozen after it requested a
+// confirmation of its leadership, and resumes with the outdated confirmation.
+TEST(duty, IgnoresOutdatedConfirmation) {
   DutyTurnPolicy p;
   p.lease = kSecond;
   DutyLeadership leadership(p);
@@ -97,12 +97,12 @@
   now += 2 * kSecond;
   leadership.RecordConfirmation(1, asked);
   CHECK_FALSE(leadership.UsableToken(now).has_value());
-  // One for another term neither.
+  // A confirmation for another term does not count.
   leadership.RecordConfirmation(2, now);
   CHECK_FALSE(leadership.UsableToken(now).has_value());
 }
 
-TEST(duty, ARefusedTokenIsNotUsedAgain) {
+TEST(duty, DoesNotReuseRefusedToken) {
   DutyTurnPolicy p;
   DutyLeadership leadership(p);
   TimePoint now{};
@@ -119,9 +119,9 @@
   CHECK_TRUE(leadership.UsableToken(now).has_value());
 }
 
-// Guards against a clock that jumps on some hosts, the leader's own among them:
-// the windows of all would move with it.
-TEST(duty, AJumpOfSomeClocksMovesNobodysTime) {
+// Guards against wall clocks that jump on some hosts, the leader included: the
+// windows of all processes would move with them.
+TEST(duty, ClockJumpsOfSomeHostsDoNotMoveGroupTime) {
   GroupTime t;
   TimePoint now{};
   now += 100 * kSecond;
@@ -144,45 +144,45 @@
   }
 }
 
-// Guards against a follower whose time falls behind by what a lossy link held a
-// telling up, and against one that believes its own clock.
-TEST(duty, ALateTellingDoesNotMoveTheTime) {
+// Guards against a follower whose time falls behind by the delay of a lossy
+// link, and against a follower that uses its own wall clock.
+TEST(duty, DelayedUpdateDoesNotMoveGroupTime) {
   GroupTime t;
   TimePoint now{};
   now += 100 * kSecond;
   t.NoteSample("self", 5, now);
   const int64_t kUnix = 1'000'000'000;
-  auto truth = [&] { return kUnix + ToMs(now.time_since_epoch()); };
-  t.NoteTold(truth() - 1, now);
+  auto true_ms = [&] { return kUnix + ToMs(now.time_since_epoch()); };
+  t.NoteTold(true_ms() - 1, now);
   now += kSecond;
-  t.NoteTold(truth() - 600, now);
-  LONGS_EQUAL(truth() - 1, *t.UnixMs(now));
-  // Control is away: the time told goes on.
+  t.NoteTold(true_ms() - 600, now);
+  LONGS_EQUAL(true_ms() - 1, *t.UnixMs(now));
+  // Without updates from control the received time keeps advancing.
   now += 60 * kSecond;
-  LONGS_EQUAL(truth() - 1, *t.UnixMs(now));
+  LONGS_EQUAL(true_ms() - 1, *t.UnixMs(now));
 }
 
-// A leader that was told the time before goes on with it until those who follow
-// it have told theirs.
-TEST(duty, ANewLeaderTakesOverTheTime) {
+// A new leader keeps the time that it received as a follower, until it has the
+// wall clocks of its own followers.
+TEST(duty, NewLeaderKeepsReceivedTime) {
   GroupTime t;
   TimePoint now{};
   now += 100 * kSecond;
   const int64_t kUnix = 1'000'000'000;
-  auto truth = [&] { return kUnix + ToMs(now.time_since_epoch()); };
-  t.NoteTold(truth(), now);
-  t.NoteSample("self", truth() + 2000, now);
-  LONGS_EQUAL(truth(), *t.UnixMs(now));
+  auto true_ms = [&] { return kUnix + ToMs(now.time_since_epoch()); };
+  t.NoteTold(true_ms(), now);
+  t.NoteSample("self", true_ms() + 2000, now);
+  LONGS_EQUAL(true_ms(), *t.UnixMs(now));
   now += 3 * kSecond;
-  t.NoteSample("self", truth() + 2000, now);
-  t.NoteSample("a", truth(), now);
-  t.NoteSample("b", truth(), now);
-  LONGS_EQUAL(truth(), *t.UnixMs(now));
+  t.NoteSample("self", true_ms() + 2000, now);
+  t.NoteSample("a", true_ms(), now);
+  t.NoteSample("b", true_ms(), now);
+  LONGS_EQUAL(true_ms(), *t.UnixMs(now));
 }
 
-// Guards against requests counted twice that are told twice, or through two
-// processes after the first one failed.
-TEST(duty, CountsAreJoinedByTheGreatest) {
+// Guards against requests counted twice when their counts are reported twice,
+// or through two processes after the first one failed.
+TEST(duty, MergesCountsByMaximum) {
   UsageBook entry;
   for (int i = 0; i < 3; ++i) entry.Count(1, 10, "a");
   entry.Count(1, 11, "a");
@@ -193,7 +193,7 @@
   TimePoint now{};
   left.MergeRecords(reports.For("left", now));
   entry.Count(1, 10, "a");
-  // The left one fails before it answers: the right one is told all.
+  // The left process fails before it answers: the right one gets all records.
   reports.Lost();
   right.MergeRecords(reports.For("right", now));
   reports.Confirmed();
@@ -203,15 +203,15 @@
   leader.MergeRecords(left.ChangedSince(0, 100, &through));
   LONGS_EQUAL(4, leader.SumByAccount(10).at("a"));
   LONGS_EQUAL(1, leader.SumByAccount(11).at("a"));
-  // A new start of the entry counts for itself.
+  // The counts of a restarted entry are added to those from before.
   leader.MergeRecords(std::vector<UsageRecord>{{2, 10, "a", 5}});
   LONGS_EQUAL(9, leader.SumByAccount(10).at("a"));
   LONGS_EQUAL(2, static_cast<long>(leader.CountProcesses(10)));
 }
 
-// Guards against a report that is raised after it was fixed, and against memory
-// that grows with requests.
-TEST(duty, WhatIsFixedIsForgotten) {
+// Guards against counts that grow after their window was committed, and against
+// memory that grows with the number of requests.
+TEST(duty, DropsCommittedWindows) {
   UsageBook book(4);
   for (int i = 0; i < 1000; ++i) book.Count(1, 10, "a");
   LONGS_EQUAL(1, static_cast<long>(book.size()));
@@ -224,8 +224,9 @@
   LONGS_EQUAL(4, static_cast<long>(book.ChangedSince(0, 9, &through).size()));
 }
 
-// All is told, however little at once, and no more often than the interval.
-TEST(duty, TallyIsToldInParts) {
+// All records are reported, in parts of limited size and no more often than the
+// interval.
+TEST(duty, ReportsCountsInParts) {
   UsageBook entry;
   UsageBook control;
   for (int a = 0; a < 5000; ++a) entry.Count(1, 10, std::to_string(a));
@@ -242,10 +243,10 @@
   LONGS_EQUAL(5000, static_cast<long>(control.SumByAccount(10).size()));
 }
 
-// Guards against a gap in the windows when the group was away, and against a
-// flood of old ones after a long time.
-TEST(duty, WindowsFollowEachOther) {
-  UsagePolicy p = FiveSeconds();
+// Guards against a gap in the windows after an outage of the group, and against
+// a flood of old windows after a long outage.
+TEST(duty, CommitsWindowsWithoutGaps) {
+  UsagePolicy p = FiveSecondWindows();
   DutyLog::Subject s;
   UsageBook book;
   CHECK_FALSE(WindowToCommit(s, book, 1'000'000, p).has_value());
@@ -255,13 +256,14 @@
   s.fixed_through = 200;
   CHECK_FALSE(WindowToCommit(s, book, 1'007'500, p).has_value());
   LONGS_EQUAL(201, *WindowToCommit(s, book, 1'099'000, p));
-  LONGS_EQUAL(400 - p.max_windows_behind, *WindowToCommit(s, book, 2'000'000, p));
+  LONGS_EQUAL(400 - p.max_windows_behind,
+              *WindowToCommit(s, book, 2'000'000, p));
 }
 
-// A report that is not answered is sent again, later each time, and does not
-// hold up the next one.
-TEST(duty, AnUnansweredReportHoldsUpNoOther) {
-  UsagePolicy p = FiveSeconds();
+// An unanswered report is sent again with growing delays, and does not delay
+// the next report.
+TEST(duty, UnansweredReportDoesNotDelayOthers) {
+  UsagePolicy p = FiveSecondWindows();
   DutyLog log;
   log.Apply({kUsageSubject, 1, EncodeUsage({{"a", 1}}), 0});
   log.Apply({kUsageSubject, 2, EncodeUsage({{"a", 2}}), 0});
@@ -281,7 +283,7 @@
   LONGS_EQUAL(2, deliveries.AcceptedThrough(s));
 }
 
-TEST(duty, CountsComeBackAsTheyWereFixed) {
+TEST(duty, EncodesAndDecodesCounts) {
   UsageCounts counts = {{"a", 3}, {"b", 0}};
   CHECK_TRUE(*DecodeUsage(*EncodeUsage(counts)) == counts);
   CHECK_TRUE(DecodeUsage(*EncodeUsage({}))->empty());
@@ -291,77 +293,78 @@
 
 namespace {
 
-// A group that reports to a platform, on a manual clock. Each leader counts
-// something else, so that a report that is made anew shows.
+// A group that reports to a platform, on a manual clock. Each proposal has
+// other counts, so that two different reports of one window are noticed.
 class ReportingGroup {
  public:
   explicit ReportingGroup(uint64_t seed)
-      // Folded often, so that those who come back are told a snapshot.
-      : group(5, seed, FoldingOptions()),
-        judge(TurnPolicy().lease),
+      // The log is compacted often, so that returning replicas get a snapshot.
+      : group(5, seed, CompactingOptions()),
+        judge(LeadershipPolicy().lease),
         random_(seed) {
     for (int i = 0; i < group.size(); ++i) hosts_.emplace_back();
-    first_ = WindowNow();
+    first_window_ = CurrentWindow();
   }
 
   void Step() {
     group.Run(Millis(20));
     TimePoint now = group.clock.Now();
-    while (!late_.empty() && late_.begin()->first <= now) {
-      judge.CarryOut(late_.begin()->second);
-      late_.erase(late_.begin());
+    while (!delayed_calls_.empty() && delayed_calls_.begin()->first <= now) {
+      judge.CarryOut(delayed_calls_.begin()->second);
+      delayed_calls_.erase(delayed_calls_.begin());
     }
     for (int i = 0; i < group.size(); ++i) {
-      if (group.running(i)) Act(i, now);
+      if (group.running(i)) RunHost(i, now);
     }
   }
-  // A process that starts anew knows nothing of its turns.
-  void Restarted(int i) { hosts_[static_cast<size_t>(i)] = Host(); }
-  int Draw(int n) {
+  // Resets the state of host `i`: a restarted process has no leadership state.
+  void ResetHost(int i) { hosts_[static_cast<size_t>(i)] = Host(); }
+  int RandomBelow(int n) {
     return std::uniform_int_distribution<int>(0, n - 1)(random_);
   }
-  int64_t first() const { return first_; }
-  int64_t WindowNow() const {
-    return WindowAt(ToMs(group.clock.Now().time_since_epoch()), FiveSeconds());
+  int64_t first() const { return first_window_; }
+  int64_t CurrentWindow() const {
+    return WindowAt(ToMs(group.clock.Now().time_since_epoch()),
+                    FiveSecondWindows());
   }
 
   Group group;
   UsageJudge judge;
-  bool calm = false;  // The platform answers every call.
+  bool no_faults = false;  // The platform answers every call at once.
 
  private:
   struct Host {
-    DutyLeadership leadership{TurnPolicy()};
-    UsageDeliveries deliveries{FiveSeconds()};
+    DutyLeadership leadership{LeadershipPolicy()};
+    UsageDeliveries deliveries{FiveSecondWindows()};
     bool confirming = false;
   };
-  static ReplicaOptions FoldingOptions() {
+  static ReplicaOptions CompactingOptions() {
     ReplicaOptions o;
     o.compact_entries = 6;
     return o;
   }
-  static DutyTurnPolicy TurnPolicy() {
+  static DutyTurnPolicy LeadershipPolicy() {
     DutyTurnPolicy p;
     p.lease = 3 * kSecond;
     return p;
   }
 
-  void Act(int i, TimePoint now) {
+  void RunHost(int i, TimePoint now) {
     Host& h = hosts_[static_cast<size_t>(i)];
     Replica* r = group.node(i);
     bool leads = r->role() == ReplicaRole::kLeader;
     h.leadership.UpdateLeadership(leads, r->term(), now);
     if (!leads) return;
     const DutyLog::Subject& s = r->duties().FindSubject(kUsageSubject);
-    UsageBook counted;
-    counted.Count(1, first_, "a");
-    std::optional<int64_t> due =
-        WindowToCommit(s, counted, ToMs(now.time_since_epoch()), FiveSeconds());
+    UsageBook usage;
+    usage.Count(1, first_window_, "a");
+    std::optional<int64_t> due = WindowToCommit(
+        s, usage, ToMs(now.time_since_epoch()), FiveSecondWindows());
     if (due) {
-      UsageCounts counts = {{"a", Draw(1'000'000)}};
-      r->ProposeDuty(
-          {kUsageSubject, *due, EncodeUsage(counts), h.deliveries.AcceptedThrough(s)},
-          [](const absl::Status&) {});
+      UsageCounts counts = {{"a", RandomBelow(1'000'000)}};
+      r->ProposeDuty({kUsageSubject, *due, EncodeUsage(counts),
+                      h.deliveries.AcceptedThrough(s)},
+                     [](const absl::Status&) {});
     }
     std::optional<int64_t> next = h.deliveries.NextToSend(s, now);
     if (!next || !h.leadership.IsHolder(now)) return;
@@ -370,7 +373,8 @@
       return;
     }
     r->ReadBarrier([this, i, term = r->term(), now](const absl::Status& st) {
-      if (st.ok()) hosts_[static_cast<size_t>(i)].leadership.RecordConfirmation(term, now);
+      if (st.ok())
+        hosts_[static_cast<size_t>(i)].leadership.RecordConfirmation(term, now);
     });
   }
 
@@ -379,13 +383,13 @@
     Host& h = hosts_[static_cast<size_t>(i)];
     UsageJudge::Call c{std::to_string(i), token, window, std::move(counts)};
     judge.Arrived(c, now);
-    int how = calm ? 9 : Draw(10);
-    if (how < 3) {
-      late_.emplace(now + Millis(2000 + Draw(10000)), c);
+    int outcome = no_faults ? 9 : RandomBelow(10);
+    if (outcome < 3) {
+      delayed_calls_.emplace(now + Millis(2000 + RandomBelow(10000)), c);
       h.deliveries.RecordFailed(window, now);
     } else if (!judge.CarryOut(c)) {
       h.leadership.RecordRefusal(token);
-    } else if (how < 5) {
+    } else if (outcome < 5) {
       h.deliveries.RecordFailed(window, now);  // The answer is lost.
     } else {
       h.deliveries.RecordAccepted(window);
@@ -394,54 +398,54 @@
 
   std::mt19937_64 random_;
   std::vector<Host> hosts_;
-  int64_t first_ = 0;
-  std::multimap<TimePoint, UsageJudge::Call> late_;
+  int64_t first_window_ = 0;
+  std::multimap<TimePoint, UsageJudge::Call> delayed_calls_;
 };
 
 }  // namespace
 
-// Guards against what breaks the platform's trust: one window reported twice,
-// differently; one token from two hosts; holders in the order A, B, A within a
-// lease. Leaders are killed, frozen and cut off at any moment, calls are
-// carried out late or lose their answers. Once all is calm every window has its
+// Guards against violations of the platform's rules: two different reports of
+// one window, one token from two hosts, and holders in the order A, B, A within
+// a lease. Leaders are killed, frozen and isolated at any moment; calls are
+// executed late or lose their answers. After the faults end, every window has a
 // report.
-TEST(duty, AGroupReportsEachWindowOnceUnderFaults) {
+TEST(duty, GroupReportsEachWindowOnceUnderFaults) {
   for (uint64_t seed = 1; seed <= 30; ++seed) {
     ReportingGroup g(seed);
-    int harmed = -1;
-    TimePoint until{};
+    int faulty = -1;
+    TimePoint fault_end{};
     for (int step = 0; step < 60 * 50; ++step) {
       g.Step();
       TimePoint now = g.group.clock.Now();
-      if (harmed >= 0 && now >= until) {
-        g.group.Freeze(harmed, false);
+      if (faulty >= 0 && now >= fault_end) {
+        g.group.Freeze(faulty, false);
         g.group.HealAll();
-        if (!g.group.node(harmed)) g.group.Start(harmed);
-        harmed = -1;
+        if (!g.group.node(faulty)) g.group.Start(faulty);
+        faulty = -1;
       }
-      if (harmed >= 0 || g.Draw(60) != 0) continue;
+      if (faulty >= 0 || g.RandomBelow(60) != 0) continue;
       int leader = g.group.Leader();
-      harmed = leader >= 0 && g.Draw(4) != 0 ? leader : g.Draw(5);
-      until = now + Millis(200 + g.Draw(3000));
-      int how = g.Draw(4);
-      if (how == 0) g.group.Isolate(harmed, true);
-      if (how == 1) g.group.Freeze(harmed, true);
-      if (how >= 2) {
-        g.group.Kill(harmed);
-        g.Restarted(harmed);
+      faulty = leader >= 0 && g.RandomBelow(4) != 0 ? leader : g.RandomBelow(5);
+      fault_end = now + Millis(200 + g.RandomBelow(3000));
+      int fault = g.RandomBelow(4);
+      if (fault == 0) g.group.Isolate(faulty, true);
+      if (fault == 1) g.group.Freeze(faulty, true);
+      if (fault >= 2) {
+        g.group.Kill(faulty);
+        g.ResetHost(faulty);
       }
-      if (how == 3) g.group.Wipe(harmed);
+      if (fault == 3) g.group.Wipe(faulty);
     }
-    if (harmed >= 0) {
-      g.group.Freeze(harmed, false);
+    if (faulty >= 0) {
+      g.group.Freeze(faulty, false);
       g.group.HealAll();
-      if (!g.group.node(harmed)) g.group.Start(harmed);
+      if (!g.group.node(faulty)) g.group.Start(faulty);
     }
-    g.calm = true;
+    g.no_faults = true;
     for (int step = 0; step < 30 * 50; ++step) g.Step();
     for (const std::string& b : g.judge.broken()) FAIL(b.c_str());
-    // Those whose reports are due.
-    int64_t now = g.WindowNow();
+    // Checks the windows whose reports are due.
+    int64_t now = g.CurrentWindow();
     for (int64_t w = g.first(); w <= now - 3; ++w) {
       if (!g.judge.taken().count(w)) {
         FAIL(("seed " + std::to_string(seed) + ": window " + std::to_string(w) +
--- a/test/policy/limit_policy_test.cc
+++ b/test/policy/limit_policy_test.cc
@@ -1,5 +1,5 @@
-// Limits that upstreams name: what processes believe of them, and whose turn
-// it is to send.
+// Tests of the rate limits that upstreams announce: the table that processes
+// share, and the send slots.
 #include <algorithm>
 #include <vector>
 
@@ -14,21 +14,23 @@
 
 constexpr TimePoint kStart{std::chrono::hours(500)};
 // Some time of day, in milliseconds since 1970.
-constexpr Millis kTime{1'790'000'000'123};
-
-// When `serving` processes that always have a request to send do so within
-// `seconds`, looking `every` ms; each is off the shared time by up to `off` ms.
-std::vector<Millis> Sendings(double per_s, int serving, int seconds,
-                             int every = 20, int off = 0) {
-  std::vector<std::optional<Millis>> taken(static_cast<size_t>(serving));
+constexpr Millis kUnixTime{1'790'000'000'123};
+
+// Returns the times at which `serving` processes send within `seconds`. Each
+// always has a request to send and looks for a slot every `poll_ms`. Its clock
+// is ahead of the shared time by up to `max_clock_error` ms.
+std::vector<Millis> SimulateSends(double per_s, int serving, int seconds,
+                                  int poll_ms = 20, int max_clock_error = 0) {
+  std::vector<std::optional<Millis>> last_slots(static_cast<size_t>(serving));
   std::vector<Millis> out;
-  for (int ms = 0; ms < seconds * 1000; ms += every) {
+  for (int ms = 0; ms < seconds * 1000; ms += poll_ms) {
     for (int i = 0; i < serving; ++i) {
-      Millis wrong(off ? i * 37 % off : 0);
-      TurnAsk ask{"i-1", per_s, {serving, i}, kTime + Millis(ms) + wrong};
-      auto& last = taken[static_cast<size_t>(i)];
-      while (auto turn = OpenTurn(ask, last)) {
-        last = turn;
+      Millis clock_error(max_clock_error ? i * 37 % max_clock_error : 0);
+      TurnAsk ask{
+          "i-1", per_s, {serving, i}, kUnixTime + Millis(ms) + clock_error};
+      auto& last_slot = last_slots[static_cast<size_t>(i)];
+      while (auto slot = OpenTurn(ask, last_slot)) {
+        last_slot = slot;
         out.push_back(Millis(ms));
       }
     }
@@ -36,17 +38,18 @@
   return out;
 }
 
-int MostIn(const std::vector<Millis>& at, Millis span) {
-  size_t most = 0;
-  for (size_t i = 0, j = 0; j < at.size(); ++j) {
-    while (at[j] - at[i] >= span) ++i;
-    most = std::max(most, j - i + 1);
+// Returns the largest number of sends within any `period`.
+int MaxSendsWithin(const std::vector<Millis>& send_times, Millis period) {
+  size_t max_sends = 0;
+  for (size_t i = 0, j = 0; j < send_times.size(); ++j) {
+    while (send_times[j] - send_times[i] >= period) ++i;
+    max_sends = std::max(max_sends, j - i + 1);
   }
-  return static_cast<int>(most);
+  return static_cast<int>(max_sends);
 }
 
-LimitRecord Record(const char* upstream, std::optional<double> per_s, int at,
-                   int since) {
+LimitRecord MakeRecord(const char* upstream, std::optional<double> per_s,
+                       int at, int since) {
   return {upstream, per_s, kStart + Millis(at), kStart + Millis(since)};
 }
 
@@ -54,68 +57,70 @@
 
 TEST_GROUP(limit_policy){};
 
-// Guards against hundreds of entries that each save up a part of a limit and
-// spend it in the same moment.
-TEST(limit_policy, AllTogetherSendNoMoreThanTheLimit) {
+// Guards against a burst above the limit: hundreds of entries each save up a
+// share of the limit and spend it at the same moment.
+TEST(limit_policy, ProcessesTogetherKeepTheLimit) {
   for (double per_s : {0.3, 1.0, 2.3, 7.7, 40.0}) {
     for (int serving : {1, 2, 8, 9, 33, 105, 362}) {
-      std::vector<Millis> at = Sendings(per_s, serving, 60);
-      std::string what = absl::StrCat(per_s, " a second at ", serving);
-      CHECK_TRUE_TEXT(MostIn(at, Millis(4000)) <= 6 * per_s + 5, what.c_str());
-      // Nor is any of it lost while everyone has something to send.
-      CHECK_TRUE_TEXT(static_cast<double>(at.size()) >= 59 * per_s - 1,
-                      what.c_str());
+      std::vector<Millis> send_times = SimulateSends(per_s, serving, 60);
+      std::string description = absl::StrCat(per_s, " a second at ", serving);
+      CHECK_TRUE_TEXT(MaxSendsWithin(send_times, Millis(4000)) <= 6 * per_s + 5,
+                      description.c_str());
+      // The whole limit is used while all processes have requests to send.
+      CHECK_TRUE_TEXT(static_cast<double>(send_times.size()) >= 59 * per_s - 1,
+                      description.c_str());
     }
   }
 }
 
-TEST(limit_policy, ClocksThatDisagreeCostLittle) {
-  std::vector<Millis> at = Sendings(1, 33, 60, 20, 2000);
-  CHECK_TRUE(MostIn(at, Millis(4000)) <= 11);
+TEST(limit_policy, SkewedClocksExceedTheLimitOnlySlightly) {
+  std::vector<Millis> send_times = SimulateSends(1, 33, 60, 20, 2000);
+  CHECK_TRUE(MaxSendsWithin(send_times, Millis(4000)) <= 11);
 }
 
-// Guards against turns that begin at whole milliseconds being taken twice.
-TEST(limit_policy, ATurnIsTakenOnce) {
+// Guards against the use of a slot twice when it begins at a whole
+// millisecond.
+TEST(limit_policy, UsesEachSlotOnce) {
   for (double per_s : {0.1, 0.5, 1.0, 2.0, 3.0, 8.0, 125.0}) {
-    std::vector<Millis> at = Sendings(per_s, 1, 20, 1);
-    CHECK_TRUE(static_cast<double>(at.size()) <= 21 * per_s + 1);
+    std::vector<Millis> send_times = SimulateSends(per_s, 1, 20, 1);
+    CHECK_TRUE(static_cast<double>(send_times.size()) <= 21 * per_s + 1);
   }
 }
 
-// Guards against a clock that was set back and keeps an entry from its turns
-// until it has caught up.
-TEST(limit_policy, AClockSetBackDoesNotCloseTheTurns) {
-  TurnAsk ask{"i-1", 2, {1, 0}, kTime};
-  std::optional<Millis> taken = kTime + Millis(3'600'000);
-  int turns = 0;
+// Guards against an entry whose clock was set back and that finds no open slot
+// until the clock has caught up.
+TEST(limit_policy, FindsSlotsAfterClockIsSetBack) {
+  TurnAsk ask{"i-1", 2, {1, 0}, kUnixTime};
+  std::optional<Millis> last_slot = kUnixTime + Millis(3'600'000);
+  int slots_used = 0;
   for (int ms = 0; ms < 5000; ms += 20) {
-    ask.time = kTime + Millis(ms);
-    if (auto turn = OpenTurn(ask, taken)) {
-      taken = turn;
-      ++turns;
+    ask.time = kUnixTime + Millis(ms);
+    if (auto slot = OpenTurn(ask, last_slot)) {
+      last_slot = slot;
+      ++slots_used;
     }
   }
-  CHECK_TRUE(turns >= 8);
+  CHECK_TRUE(slots_used >= 8);
 }
 
-TEST(limit_policy, AnUpstreamThatTakesNothingIsStillAsked) {
-  std::vector<Millis> at = Sendings(0, 4, 60);
-  CHECK_TRUE(at.size() >= 5 && at.size() <= 7);
+TEST(limit_policy, StillProbesAnUpstreamWithLimitZero) {
+  std::vector<Millis> send_times = SimulateSends(0, 4, 60);
+  CHECK_TRUE(send_times.size() >= 5 && send_times.size() <= 7);
 }
 
-TEST(limit_policy, TheNewestThatAnyoneHeardCounts) {
+TEST(limit_policy, NewestRecordWins) {
   LimitBook book;
-  book.TakeTold({Record("a", 2.0, 100, 0)});
-  book.TakeTold({Record("a", 3.0, 50, 0)});
+  book.TakeTold({MakeRecord("a", 2.0, 100, 0)});
+  book.TakeTold({MakeRecord("a", 3.0, 50, 0)});
   DOUBLES_EQUAL(2.0, *book.Find("a")->per_s, 0);
-  book.TakeTold({Record("a", std::nullopt, 200, 0)});
+  book.TakeTold({MakeRecord("a", std::nullopt, 200, 0)});
   CHECK_TRUE(book.Find("a") == nullptr);
-  // What was told before comes once more, by a slower way.
-  book.TakeTold({Record("a", 2.0, 150, 0)});
+  // An older record arrives again, by a slower route.
+  book.TakeTold({MakeRecord("a", 2.0, 150, 0)});
   CHECK_TRUE(book.Find("a") == nullptr);
 }
 
-TEST(limit_policy, ALimitKeepsItsBeginningWhenItsValueChanges) {
+TEST(limit_policy, KeepsLimitStartWhenItsValueChanges) {
   LimitBook book;
   CHECK_TRUE(book.Note("a", 2.0, kStart));
   CHECK_TRUE(!book.Note("a", 2.0, kStart + Millis(10)));
@@ -123,9 +128,9 @@
   CHECK_TRUE(book.Find("a")->since == kStart);
 }
 
-// Guards against an upstream that names a slightly different limit each time
-// and has every process told of each.
-TEST(limit_policy, AValueThatHardlyChangesIsNoNews) {
+// Guards against an upstream that announces a slightly different limit in each
+// answer, which would be published to every process each time.
+TEST(limit_policy, IgnoresSmallChanges) {
   LimitBook book;
   book.Note("a", 2.0, kStart);
   CHECK_TRUE(!book.Note("a", 2.05, kStart + Millis(10)));
@@ -134,9 +139,9 @@
   LONGS_EQUAL(2, book.seq());
 }
 
-// Guards against a change that goes round between two processes for ever, each
-// taking it for new.
-TEST(limit_policy, WhatWasToldIsNotReportedBack) {
+// Guards against a change that two processes report and publish to each other
+// forever, because each takes it for new.
+TEST(limit_policy, DoesNotReportBackPublishedLimits) {
   LimitBook entry;
   LimitBook control;
   entry.Note("a", 2.0, kStart);
@@ -148,7 +153,7 @@
   LONGS_EQUAL(entry.version(), control.version());
 }
 
-TEST(limit_policy, EndedLimitsAndUpstreamsThatAreGoneAreForgotten) {
+TEST(limit_policy, RemovesLiftedLimitsAndUnlistedUpstreams) {
   LimitBook book;
   book.Note("gone", 2.0, kStart);
   book.Note("ended", 2.0, kStart);
--- a/test/policy/quarantine_test.cc
+++ b/test/policy/quarantine_test.cc
@@ -1,5 +1,5 @@
-// Which request is taken for the one that crashes upstreams, and how what
-// processes know of it is joined.
+// Tests of which requests are quarantined for crashes of upstreams, and of how
+// the crash records of several processes are merged.
 #include "quarantine.h"
 
 #include <cstdlib>
@@ -17,243 +17,265 @@
 
 namespace {
 
-constexpr RequestPrint kDeadly = 1;
-constexpr RequestPrint kBeside = 2;
+constexpr RequestPrint kCrashing = 1;
+constexpr RequestPrint kCoLocated = 2;
 constexpr RequestPrint kOther = 3;
-constexpr auto kRun = Millis(50);     // From the sending to the crash.
-constexpr auto kPause = Millis(200);  // From one crash to the next sending.
+constexpr auto kTimeToCrash = Millis(50);   // From sending to the crash.
+constexpr auto kResendDelay = Millis(200);  // From a crash to the next sending.
 
-// A crash under what was sent at `sent`, `after` that.
-Crash At(TimePoint sent, Duration after, bool just_begun = true) {
+// Returns a crash `after` a request was sent at `sent`.
+Crash MakeCrash(TimePoint sent, Duration after, bool just_begun = true) {
   return Crash{0, sent, sent + after, just_begun, false};
 }
 
 }  // namespace
 
 TEST_GROUP(quarantine) {
-  // Upstream `n` ends now, with all of `had`, which were sent a moment before.
-  void End(int n, std::initializer_list<RequestPrint> had) {
-    now += kPause;
-    for (RequestPrint p : had) {
-      q.NoteCrash(p, absl::StrCat("i-", n), At(now, kRun));
+  // Records that upstream `n` crashed now with the requests `in_flight`, which
+  // were sent a moment before.
+  void CrashUpstream(int n, std::initializer_list<RequestPrint> in_flight) {
+    now += kResendDelay;
+    for (RequestPrint p : in_flight) {
+      q.NoteCrash(p, absl::StrCat("i-", n), MakeCrash(now, kTimeToCrash));
     }
-    now += kRun;
+    now += kTimeToCrash;
   }
   Quarantine q;
   TimePoint now{std::chrono::hours(10)};
 };
 
-TEST(quarantine, ThreeCrashesInARowAreEnough) {
-  End(1, {kDeadly, kOther});
-  End(2, {kDeadly});
-  CHECK_FALSE(q.Refuses(kDeadly));
-  End(3, {kDeadly, kBeside});
-  CHECK_TRUE(q.Refuses(kDeadly));
+TEST(quarantine, QuarantinesAfterThreeSeparateCrashes) {
+  CrashUpstream(1, {kCrashing, kOther});
+  CrashUpstream(2, {kCrashing});
+  CHECK_FALSE(q.Refuses(kCrashing));
+  CrashUpstream(3, {kCrashing, kCoLocated});
+  CHECK_TRUE(q.Refuses(kCrashing));
   CHECK_FALSE(q.Refuses(kOther));
-  CHECK_FALSE(q.Refuses(kBeside));
-  CHECK_TRUE(q.RefusedFor(kDeadly, now) > Duration::zero());
+  CHECK_FALSE(q.Refuses(kCoLocated));
+  CHECK_TRUE(q.RefusedFor(kCrashing, now) > Duration::zero());
 }
 
-// An innocent request that met the deadly one each time has as many crashes.
-// Nobody is refused until a crash has only one of them; then it is that one.
-TEST(quarantine, OfTwoThatWereAlwaysTogetherNeitherIsRefused) {
-  for (int n = 1; n <= 3; ++n) End(n, {kDeadly, kBeside});
-  CHECK_FALSE(q.Refuses(kDeadly));
-  CHECK_FALSE(q.Refuses(kBeside));
-  End(4, {kDeadly});
-  CHECK_TRUE(q.Refuses(kDeadly));
-  CHECK_FALSE(q.Refuses(kBeside));
+// A harmless request that was co-located with the crash-inducing one each time
+// has as many crashes. Neither request is quarantined until a crash has only
+// one of them in flight; that one is quarantined.
+TEST(quarantine, QuarantinesNeitherOfTwoRequestsAlwaysCoLocated) {
+  for (int n = 1; n <= 3; ++n) CrashUpstream(n, {kCrashing, kCoLocated});
+  CHECK_FALSE(q.Refuses(kCrashing));
+  CHECK_FALSE(q.Refuses(kCoLocated));
+  CrashUpstream(4, {kCrashing});
+  CHECK_TRUE(q.Refuses(kCrashing));
+  CHECK_FALSE(q.Refuses(kCoLocated));
 }
 
-// But upstreams are not spent without end on telling the two apart.
-TEST(quarantine, TwoThatAreNeverApartAreBothRefusedInTheEnd) {
-  for (int n = 1; n <= QuarantinePolicy().crashes_if_unsure; ++n) {
-    End(n, {kDeadly, kBeside});
+// Guards against crashes without end while two requests cannot be told apart.
+TEST(quarantine, QuarantinesInseparableRequestsAfterMoreCrashes) {
+  for (int n = 1; n <= QuarantinePolicy().min_crashes_if_ambiguous; ++n) {
+    CrashUpstream(n, {kCrashing, kCoLocated});
   }
-  CHECK_TRUE(q.Refuses(kDeadly));
+  CHECK_TRUE(q.Refuses(kCrashing));
 }
 
-// Each of two deadly requests is found by crashes of its own, and one who stood
-// beside both, at more crashes than either, is not taken for them.
-TEST(quarantine, TwoDeadlyRequestsAreBothFound) {
-  End(1, {kDeadly, kBeside});
-  End(2, {kOther, kBeside});
-  End(3, {kDeadly});
-  End(4, {kOther});
-  End(5, {kDeadly});
-  End(6, {kOther});
-  CHECK_TRUE(q.Refuses(kDeadly));
+// Each of two crash-inducing requests has crashes of its own and is found. A
+// harmless request that was co-located with both, and so has more crashes than
+// either, is not quarantined.
+TEST(quarantine, FindsTwoCrashInducingRequests) {
+  CrashUpstream(1, {kCrashing, kCoLocated});
+  CrashUpstream(2, {kOther, kCoLocated});
+  CrashUpstream(3, {kCrashing});
+  CrashUpstream(4, {kOther});
+  CrashUpstream(5, {kCrashing});
+  CrashUpstream(6, {kOther});
+  CHECK_TRUE(q.Refuses(kCrashing));
   CHECK_TRUE(q.Refuses(kOther));
-  CHECK_FALSE(q.Refuses(kBeside));
+  CHECK_FALSE(q.Refuses(kCoLocated));
 }
 
-// Symptom: a lookup that many callers send is refused after power was lost at
-// one place. Cause: it was at work at four upstreams at once, and each counted.
-// None of them had it after another had ended.
-TEST(quarantine, UpstreamsThatEndTogetherAreOneCrash) {
+// Guards against a quarantine after one power loss: a lookup that many callers
+// send ran at four upstreams that lost power together, and each crash counted.
+// No upstream received it after another one had terminated.
+TEST(quarantine, CountsSimultaneousCrashesOnce) {
   for (int n = 1; n <= 4; ++n) {
-    q.NoteCrash(kOther, absl::StrCat("i-", n), At(now, kRun + Millis(n)));
+    q.NoteCrash(kOther, absl::StrCat("i-", n),
+                MakeCrash(now, kTimeToCrash + Millis(n)));
   }
   CHECK_FALSE(q.Refuses(kOther));
 }
 
-// Symptom: a long generation is refused that stood beside three crashes, each
-// of which had nothing to do with it. Sequence: two engines end at one moment;
-// it is moved from the first to the second before that one's end is known, and
-// cut again a moment later; the third ends when it has run for seconds. A
-// request that ends its upstreams late is found too, for two crashes more.
-TEST(quarantine, WhatHadRunOrWasUnderWayCountsForLess) {
-  q.NoteCrash(kOther, "i-1", At(now, kRun));
-  q.NoteCrash(kOther, "i-2", At(now + kRun, Millis(1)));
-  q.NoteCrash(kOther, "i-3", At(now + kPause, kPause, false));
-  q.NoteCrash(kOther, "i-4", At(now + 3 * kPause, kPause, false));
+// Guards against the quarantine of a long generation that was in flight at
+// three unrelated crashes. Two engines terminate at the same moment: the
+// request is moved from the first to the second before the second is known to
+// be gone, and is interrupted again. The third engine terminates when the
+// request has run there for seconds. A request that crashes upstreams late is
+// still found, after two more crashes.
+TEST(quarantine, RequiresMoreCrashesOfMovedOrRunningRequests) {
+  q.NoteCrash(kOther, "i-1", MakeCrash(now, kTimeToCrash));
+  q.NoteCrash(kOther, "i-2", MakeCrash(now + kTimeToCrash, Millis(1)));
+  q.NoteCrash(kOther, "i-3",
+              MakeCrash(now + kResendDelay, kResendDelay, false));
+  q.NoteCrash(kOther, "i-4",
+              MakeCrash(now + 3 * kResendDelay, kResendDelay, false));
   CHECK_FALSE(q.Refuses(kOther));
-  q.NoteCrash(kOther, "i-5", At(now + 5 * kPause, kPause, false));
+  q.NoteCrash(kOther, "i-5",
+              MakeCrash(now + 5 * kResendDelay, kResendDelay, false));
   CHECK_FALSE(q.Refuses(kOther));
-  q.NoteCrash(kOther, "i-6", At(now + 7 * kPause, kPause, false));
+  q.NoteCrash(kOther, "i-6",
+              MakeCrash(now + 7 * kResendDelay, kResendDelay, false));
   CHECK_TRUE(q.Refuses(kOther));
 }
 
-// Symptom: a generation is refused that met three losses of power, of which
-// each ended several engines. One request cannot have ended those that did not
-// have it; who hears of them later clears it then.
-TEST(quarantine, WhatEndedTogetherWithOthersIsNotItsDoing) {
-  for (int n = 1; n <= 3; ++n) End(n, {kOther});
+// Guards against the quarantine of a generation that was in flight at three
+// power losses, each of which terminated several engines. The request cannot
+// have terminated engines that did not have it. It is cleared when a process
+// receives the records of those later.
+TEST(quarantine, ClearsCrashesThatCoincideWithOtherTerminations) {
+  for (int n = 1; n <= 3; ++n) CrashUpstream(n, {kOther});
   CHECK_TRUE(q.Refuses(kOther));
-  Quarantine elsewhere;
-  elsewhere.NoteCrash(kBeside, "i-8", At(now - kRun, kRun + Millis(3)));
-  q.TakeReported(elsewhere.ChangedSince(0, 10));
+  Quarantine other_process;
+  other_process.NoteCrash(
+      kCoLocated, "i-8",
+      MakeCrash(now - kTimeToCrash, kTimeToCrash + Millis(3)));
+  q.TakeReported(other_process.ChangedSince(0, 10));
   CHECK_FALSE(q.Refuses(kOther));
-  // And everyone hears of the clearing.
-  Quarantine below;
-  below.TakeTold(q.Shared());
-  CHECK_FALSE(below.Refuses(kOther));
+  // The clearing is published too.
+  Quarantine follower;
+  follower.TakeTold(q.Shared());
+  CHECK_FALSE(follower.Refuses(kOther));
 }
 
-// Two deadly copies at once are still its doing: it was at both.
-TEST(quarantine, CopiesThatEndTwoUpstreamsAtOnceStillCount) {
+// Two copies of a crash-inducing request that terminate two upstreams at the
+// same moment count against it, as it was in flight at both.
+TEST(quarantine, CountsSimultaneousCrashesOfCopies) {
   for (int n = 1; n <= 3; ++n) {
-    q.NoteCrash(kDeadly, absl::StrCat("copy-", n), At(now + kPause, kRun));
-    End(n, {kDeadly});
+    q.NoteCrash(kCrashing, absl::StrCat("copy-", n),
+                MakeCrash(now + kResendDelay, kTimeToCrash));
+    CrashUpstream(n, {kCrashing});
   }
-  CHECK_TRUE(q.Refuses(kDeadly));
+  CHECK_TRUE(q.Refuses(kCrashing));
 }
 
-// A request that upstreams serve between their crashes does not end them.
-TEST(quarantine, WhatWasServedIsClearedOfEarlierCrashes) {
-  End(1, {kOther});
-  End(2, {kOther});
+// A request that upstreams serve between crashes does not cause these crashes.
+TEST(quarantine, ClearsEarlierCrashesOfServedRequest) {
+  CrashUpstream(1, {kOther});
+  CrashUpstream(2, {kOther});
   q.NoteServed(kOther);
-  End(3, {kOther});
+  CrashUpstream(3, {kOther});
   CHECK_FALSE(q.Refuses(kOther));
-  End(4, {kOther});
+  CrashUpstream(4, {kOther});
   CHECK_FALSE(q.Refuses(kOther));
-  End(5, {kOther});
+  CrashUpstream(5, {kOther});
   CHECK_TRUE(q.Refuses(kOther));
   q.NoteServed(kOther);
   CHECK_FALSE(q.Refuses(kOther));
 }
 
-// What two entries saw makes the verdict, whoever tells it first and however
-// often; and a clearing outlives old news of the same crashes.
-TEST(quarantine, RecordsAreJoinedInAnyOrder) {
+// Records of two entries together quarantine a request, in whatever order and
+// however often they arrive. A cleared crash stays cleared when an older record
+// of the same crash arrives.
+TEST(quarantine, MergesRecordsInAnyOrder) {
   Quarantine first;
   Quarantine second;
-  first.NoteCrash(kDeadly, "i-1", At(now, kRun));
-  second.NoteCrash(kDeadly, "i-2", At(now + kPause, kRun));
-  first.NoteCrash(kDeadly, "i-3", At(now + 2 * kPause, kRun));
+  first.NoteCrash(kCrashing, "i-1", MakeCrash(now, kTimeToCrash));
+  second.NoteCrash(kCrashing, "i-2",
+                   MakeCrash(now + kResendDelay, kTimeToCrash));
+  first.NoteCrash(kCrashing, "i-3",
+                  MakeCrash(now + 2 * kResendDelay, kTimeToCrash));
   std::vector<CrashRecord> a = first.ChangedSince(0, 10);
   std::vector<CrashRecord> b = second.ChangedSince(0, 10);
-  Quarantine one;
-  Quarantine two;
-  one.TakeReported(a);
-  one.TakeReported(b);
-  two.TakeReported(b);
-  two.TakeReported(a);
-  two.TakeReported(b);
-  CHECK_TRUE(one.Refuses(kDeadly));
-  CHECK_TRUE(two.Refuses(kDeadly));
-  CHECK_EQUAL(one.version(), two.version());
-  one.NoteServed(kDeadly);
-  CHECK_TRUE(one.version() != two.version());
-  one.TakeTold(two.Shared());
-  CHECK_FALSE(one.Refuses(kDeadly));
-  two.TakeTold(one.Shared());
-  CHECK_FALSE(two.Refuses(kDeadly));
-  CHECK_EQUAL(one.version(), two.version());
+  Quarantine merged_ab;
+  Quarantine merged_ba;
+  merged_ab.TakeReported(a);
+  merged_ab.TakeReported(b);
+  merged_ba.TakeReported(b);
+  merged_ba.TakeReported(a);
+  merged_ba.TakeReported(b);
+  CHECK_TRUE(merged_ab.Refuses(kCrashing));
+  CHECK_TRUE(merged_ba.Refuses(kCrashing));
+  CHECK_EQUAL(merged_ab.version(), merged_ba.version());
+  merged_ab.NoteServed(kCrashing);
+  CHECK_TRUE(merged_ab.version() != merged_ba.version());
+  merged_ab.TakeTold(merged_ba.Shared());
+  CHECK_FALSE(merged_ab.Refuses(kCrashing));
+  merged_ba.TakeTold(merged_ab.Shared());
+  CHECK_FALSE(merged_ba.Refuses(kCrashing));
+  CHECK_EQUAL(merged_ab.version(), merged_ba.version());
 }
 
-// What is told from above is not reported back.
-TEST(quarantine, WhatWasToldIsNotReported) {
-  End(1, {kDeadly});
-  End(2, {kDeadly});
-  Quarantine below;
-  below.TakeTold(q.Shared());
-  LONGS_EQUAL(0, below.seq());
-  LONGS_EQUAL(0, below.ChangedSince(0, 10).size());
-  below.NoteServed(kDeadly);
-  LONGS_EQUAL(1, below.ChangedSince(0, 10).size());
+// Guards against published records being reported back to the process that
+// published them.
+TEST(quarantine, DoesNotReportBackPublishedRecords) {
+  CrashUpstream(1, {kCrashing});
+  CrashUpstream(2, {kCrashing});
+  Quarantine follower;
+  follower.TakeTold(q.Shared());
+  LONGS_EQUAL(0, follower.seq());
+  LONGS_EQUAL(0, follower.ChangedSince(0, 10).size());
+  follower.NoteServed(kCrashing);
+  LONGS_EQUAL(1, follower.ChangedSince(0, 10).size());
 }
 
-// One crash concerns nobody else: it is reported, but not told to all.
-TEST(quarantine, OneCrashIsNotToldToAll) {
-  End(1, {kDeadly, kOther, kBeside});
+// A record with a single crash is reported to control, but not published.
+TEST(quarantine, DoesNotPublishSingleCrashes) {
+  CrashUpstream(1, {kCrashing, kOther, kCoLocated});
   LONGS_EQUAL(0, q.version());
   LONGS_EQUAL(3, q.ChangedSince(0, 10).size());
-  End(2, {kDeadly});
+  CrashUpstream(2, {kCrashing});
   LONGS_EQUAL(1, q.Shared().size());
   CHECK_TRUE(q.version() != 0);
 }
 
-// After an hour of crashes hundreds stood beside two. What every process is
-// told stays small, and whoever is refused is in it however old.
-TEST(quarantine, WhatIsToldIsBounded) {
-  for (int n = 1; n <= 3; ++n) End(n, {kDeadly});
+// After an hour of crashes, hundreds of requests were in flight at two of them.
+// The published set stays small, and contains quarantined requests however old
+// their records are.
+TEST(quarantine, LimitsPublishedRecords) {
+  for (int n = 1; n <= 3; ++n) CrashUpstream(n, {kCrashing});
   for (RequestPrint p = 10; p < 1000; ++p) {
-    End(static_cast<int>(2 * p), {p});
-    End(static_cast<int>(2 * p + 1), {p});
+    CrashUpstream(static_cast<int>(2 * p), {p});
+    CrashUpstream(static_cast<int>(2 * p + 1), {p});
   }
-  LONGS_EQUAL(QuarantinePolicy().most_shared, q.Shared().size());
-  Quarantine below;
-  below.TakeTold(q.Shared());
-  CHECK_TRUE(below.Refuses(kDeadly));
+  LONGS_EQUAL(QuarantinePolicy().max_published_records, q.Shared().size());
+  Quarantine follower;
+  follower.TakeTold(q.Shared());
+  CHECK_TRUE(follower.Refuses(kCrashing));
 }
 
-TEST(quarantine, ItsSizeIsBoundedAndItForgets) {
+TEST(quarantine, LimitsItsSizeAndDropsExpiredRecords) {
   QuarantinePolicy policy;
-  policy.most_records = 100;
+  policy.max_records = 100;
   Quarantine small(policy);
   for (int n = 1; n <= 3; ++n) {
-    now += kPause;
-    small.NoteCrash(kDeadly, absl::StrCat("i-", n), At(now, kRun));
+    now += kResendDelay;
+    small.NoteCrash(kCrashing, absl::StrCat("i-", n),
+                    MakeCrash(now, kTimeToCrash));
   }
   for (RequestPrint p = 10; p < 1000; ++p) {
-    small.NoteCrash(p, "i-9", At(now + kPause, kPause));
+    small.NoteCrash(p, "i-9", MakeCrash(now + kResendDelay, kResendDelay));
   }
   LONGS_EQUAL(100, small.ChangedSince(0, 10000).size());
-  CHECK_TRUE(small.Refuses(kDeadly));
+  CHECK_TRUE(small.Refuses(kCrashing));
   for (int n = 0; n < 100; ++n) {
-    now += kPause;
-    small.NoteCrash(kDeadly, absl::StrCat("j-", n), At(now, kRun));
+    now += kResendDelay;
+    small.NoteCrash(kCrashing, absl::StrCat("j-", n),
+                    MakeCrash(now, kTimeToCrash));
   }
-  LONGS_EQUAL(policy.most_crashes, small.Shared().front().crashes.size());
-  small.Tick(now + policy.memory + std::chrono::seconds(2));
-  CHECK_FALSE(small.Refuses(kDeadly));
+  LONGS_EQUAL(policy.max_crashes_per_record,
+              small.Shared().front().crashes.size());
+  small.Tick(now + policy.retention + std::chrono::seconds(2));
+  CHECK_FALSE(small.Refuses(kCrashing));
   LONGS_EQUAL(0, small.version());
 }
 
-// A report is repeated until it is confirmed, and all of it where the process
-// that had it failed: it may have started anew.
-TEST(quarantine, ReportsAreRepeatedUntilTheyAreConfirmed) {
+// A report is repeated until it is confirmed. All records are reported again if
+// the target fails, as it may have restarted without them.
+TEST(quarantine, RepeatsReportsUntilConfirmed) {
   CrashReports reports(q);
-  End(1, {kDeadly});
+  CrashUpstream(1, {kCrashing});
   CHECK_TRUE(reports.waiting());
   LONGS_EQUAL(1, reports.For("a").size());
   CHECK_FALSE(reports.waiting());
   LONGS_EQUAL(1, reports.For("a").size());
   reports.Confirmed();
   LONGS_EQUAL(0, reports.For("a").size());
-  End(2, {kOther});
+  CrashUpstream(2, {kOther});
   LONGS_EQUAL(1, reports.For("a").size());
   reports.Confirmed();
   reports.Lost();
@@ -262,36 +284,36 @@
   LONGS_EQUAL(2, reports.For("b").size());
 }
 
-// Clocks of two processes have nothing in common: ages are what is told.
-TEST(quarantine, RecordsSurviveTheWireAndTheDisk) {
-  for (int n = 1; n <= 3; ++n) End(n, {kDeadly});
-  TimePoint there{std::chrono::hours(500)};
+// Processes have unrelated monotonic clocks, so records are encoded with ages.
+TEST(quarantine, EncodesAndStoresRecords) {
+  for (int n = 1; n <= 3; ++n) CrashUpstream(n, {kCrashing});
+  TimePoint other_now{std::chrono::hours(500)};
   Quarantine other;
   other.TakeTold(
-      *DecodeCrashRecords(EncodeCrashRecords(q.Shared(), now), there));
-  CHECK_TRUE(other.Refuses(kDeadly));
+      *DecodeCrashRecords(EncodeCrashRecords(q.Shared(), now), other_now));
+  CHECK_TRUE(other.Refuses(kCrashing));
   CHECK_EQUAL(q.version(), other.version());
-  CHECK_EQUAL(ToMs(q.RefusedFor(kDeadly, now)),
-              ToMs(other.RefusedFor(kDeadly, there)));
+  CHECK_EQUAL(ToMs(q.RefusedFor(kCrashing, now)),
+              ToMs(other.RefusedFor(kCrashing, other_now)));
 
   std::string dir = TempDir();
   CHECK_TRUE(LoadCrashRecords(dir, now).empty());
   CHECK_TRUE(SaveCrashRecords(dir, q.Shared(), now, {}).ok());
-  Quarantine again;
-  again.TakeReported(LoadCrashRecords(dir, there));
-  CHECK_TRUE(again.Refuses(kDeadly));
-  // A file that does not check is none.
+  Quarantine restored;
+  restored.TakeReported(LoadCrashRecords(dir, other_now));
+  CHECK_TRUE(restored.Refuses(kCrashing));
+  // A damaged file counts as missing.
   for (const auto& f : std::filesystem::directory_iterator(dir)) {
-    std::fstream torn(f.path(), std::ios::in | std::ios::out);
-    torn.seekp(20);
-    torn << "torn";
+    std::fstream damaged(f.path(), std::ios::in | std::ios::out);
+    damaged.seekp(20);
+    damaged << "torn";
   }
   CHECK_TRUE(LoadCrashRecords(dir, now).empty());
   CHECK_FALSE(DecodeCrashRecords("no records", now).ok());
 }
 
-// The same words by another account, or at another path, are another request.
-TEST(quarantine, APrintTellsPathAccountAndBodyApart) {
+// The same body from another account or at another path is another request.
+TEST(quarantine, FingerprintDependsOnPathAccountAndBody) {
   RequestPrint p = PrintOf("/a/1", "club", "words");
   CHECK_TRUE(p == PrintOf("/a/1", "club", "words"));
   CHECK_TRUE(p != PrintOf("/a/2", "club", "words"));
