--- a/src/duty/duty_turn.cc
+++ b/src/duty/duty_turn.cc
@@ -16,9 +16,10 @@
   refused_ = false;
 }
 
-void DutyLeadership::RecordConfirmation(uint64_t term, TimePoint asked_at) {
+void DutyLeadership::RecordConfirmation(uint64_t term, TimePoint requested_at) {
   if (!leads_ || term != term_) return;
-  confirmed_at_ = confirmed_ ? std::max(confirmed_at_, asked_at) : asked_at;
+  confirmed_at_ =
+      confirmed_ ? std::max(confirmed_at_, requested_at) : requested_at;
   confirmed_ = true;
 }
 
@@ -32,7 +33,7 @@
 
 std::optional<uint64_t> DutyLeadership::UsableToken(TimePoint now) const {
   bool recently_confirmed =
-      confirmed_ && now - confirmed_at_ <= policy_.confirmed_for;
+      confirmed_ && now - confirmed_at_ <= policy_.max_confirmation_age;
   if (!IsHolder(now) || !recently_confirmed) return std::nullopt;
   return term_;
 }
--- a/src/duty/duty_turn.h
+++ b/src/duty/duty_turn.h
@@ -24,7 +24,7 @@
   // Maximum age of the quorum's last confirmation of the leadership, counted
   // from the request for it: a process that was frozen after it sent the
   // request has to request another confirmation.
-  Duration confirmed_for = Millis(250);
+  Duration max_confirmation_age = Millis(250);
 };
 
 // Tracks this process's leadership. Thread safety: loop thread only.
@@ -35,8 +35,8 @@
   // Records whether this process leads now, and the term. Call regularly.
   void UpdateLeadership(bool leads, uint64_t term, TimePoint now);
   // Records that a quorum has confirmed the leadership in `term`. The
-  // confirmation was requested at `asked_at`.
-  void RecordConfirmation(uint64_t term, TimePoint asked_at);
+  // confirmation was requested at `requested_at`.
+  void RecordConfirmation(uint64_t term, TimePoint requested_at);
   // Records that the outside system refused `token`, because a holder with a
   // higher token has acted. The token is not used again.
   void RecordRefusal(uint64_t token);
--- a/src/duty/group_time.h
+++ b/src/duty/group_time.h
@@ -18,8 +18,8 @@
 
 namespace medlarwalk {
 
-// Interface to a host's wall clock, in milliseconds since the Unix epoch. Tests
-// pass their own, as with Clock.
+// Interface to a host's wall clock, in milliseconds since the Unix epoch. Users
+// receive it as a parameter, as with Clock, so that tests can replace it.
 class WallClock {
  public:
   virtual ~WallClock() = default;
--- a/src/duty/usage_book.cc
+++ b/src/duty/usage_book.cc
@@ -16,7 +16,7 @@
   if (key.window <= dropped_through_) return;
   auto it = cells_.find(key);
   if (it == cells_.end()) {
-    if (cells_.size() >= most_) return;
+    if (cells_.size() >= max_records_) return;
     it = cells_.emplace(key, Cell{}).first;
   } else if (count <= it->second.count) {
     return;
@@ -71,12 +71,13 @@
   return cells_.begin()->first.window;
 }
 
-std::vector<UsageRecord> UsageBook::ChangedSince(uint64_t seq, size_t most,
+std::vector<UsageRecord> UsageBook::ChangedSince(uint64_t seq,
+                                                 size_t max_records,
                                                  uint64_t* through) const {
   std::vector<UsageRecord> out;
   *through = seq;
   for (auto it = by_seq_.upper_bound(seq);
-       it != by_seq_.end() && out.size() < most; ++it) {
+       it != by_seq_.end() && out.size() < max_records; ++it) {
     const Key& k = it->second;
     out.push_back({k.process, k.window, k.account, cells_.at(k).count});
     *through = it->first;
--- a/src/duty/usage_book.h
+++ b/src/duty/usage_book.h
@@ -31,8 +31,8 @@
 // The counts of all known processes. Thread safety: loop thread only.
 class UsageBook {
  public:
-  // `most`: records kept; further records are ignored.
-  explicit UsageBook(size_t most = 65536) : most_(most) {}
+  // `max_records`: records kept; further records are ignored.
+  explicit UsageBook(size_t max_records = 65536) : max_records_(max_records) {}
 
   // Adds one request to the count of `process`.
   void Count(uint64_t process, int64_t window, const std::string& account);
@@ -53,10 +53,10 @@
 
   // Returns the sequence number of the last change.
   uint64_t seq() const { return seq_; }
-  // Returns the first `most` records that changed after `seq`, in the order of
-  // their last change. Sets `*through` to the sequence number of the last
-  // returned change, or to `seq` if there is none.
-  std::vector<UsageRecord> ChangedSince(uint64_t seq, size_t most,
+  // Returns the first `max_records` records that changed after `seq`, in the
+  // order of their last change. Sets `*through` to the sequence number of the
+  // last returned change, or to `seq` if there is none.
+  std::vector<UsageRecord> ChangedSince(uint64_t seq, size_t max_records,
                                         uint64_t* through) const;
 
  private:
@@ -73,7 +73,7 @@
   // Sets the count of `key` to `count` if that is larger.
   void RaiseCount(Key key, int64_t count);
 
-  size_t most_;
+  size_t max_records_;
   std::map<Key, Cell> cells_;
   std::map<uint64_t, Key> by_seq_;  // Keys by sequence number of last change.
   int64_t dropped_through_ = 0;
--- a/src/policy/change_reports.h
+++ b/src/policy/change_reports.h
@@ -1,7 +1,7 @@
 // Tracks which records of a source the process reported to (the target) has not
 // confirmed yet. The source numbers its changes: seq() returns the number of
-// its last change, ChangedSince(seq, most) at most `most` records that changed
-// after `seq`.
+// its last change, ChangedSince(seq, max_records) at most `max_records` records
+// that changed after `seq`.
 #ifndef MEDLARWALK_CHANGE_REPORTS_H_
 #define MEDLARWALK_CHANGE_REPORTS_H_
 
@@ -11,7 +11,8 @@
 
 namespace medlarwalk {
 
-// Thread safety: loop thread only.
+// Reports of one source to one target at a time. Thread safety: loop thread
+// only.
 template <typename Source>
 class ChangeReports {
  public:
@@ -24,7 +25,7 @@
     if (target != target_) confirmed_ = 0;
     target_ = target;
     sent_ = source_.seq();
-    return source_.ChangedSince(confirmed_, kMostTold);
+    return source_.ChangedSince(confirmed_, kMaxRecordsPerReport);
   }
   // Records that the target has received the last report.
   void Confirmed() { confirmed_ = sent_; }
@@ -36,7 +37,7 @@
 
  private:
   // Records in one report: enough for the crash of a whole rack of engines.
-  static constexpr size_t kMostTold = 512;
+  static constexpr size_t kMaxRecordsPerReport = 512;
 
   const Source& source_;
   std::string target_;
--- a/src/policy/limit_book.cc
+++ b/src/policy/limit_book.cc
@@ -96,10 +96,10 @@
 }
 
 std::vector<LimitRecord> LimitBook::ChangedSince(uint64_t seq,
-                                                 size_t most) const {
+                                                 size_t max_records) const {
   std::vector<LimitRecord> out;
   for (const auto& [upstream, e] : entries_) {
-    if (e.seq > seq && out.size() < most) out.push_back(e.record);
+    if (e.seq > seq && out.size() < max_records) out.push_back(e.record);
   }
   return out;
 }
--- a/src/policy/limit_book.h
+++ b/src/policy/limit_book.h
@@ -65,8 +65,8 @@
   // Returns the sequence number of the last change recorded or reported here.
   uint64_t seq() const { return seq_; }
   // Returns the records that were recorded or reported after `seq`, at most
-  // `most`.
-  std::vector<LimitRecord> ChangedSince(uint64_t seq, size_t most) const;
+  // `max_records`.
+  std::vector<LimitRecord> ChangedSince(uint64_t seq, size_t max_records) const;
 
  private:
   struct Entry {
--- a/src/policy/quarantine.cc
+++ b/src/policy/quarantine.cc
@@ -50,10 +50,10 @@
   });
 }
 
-// Adds `c` to `*crashes`, which keeps the `most` newest. Returns whether `c`
-// was added.
-bool AddCrash(const Crash& c, size_t most, std::vector<Crash>* crashes) {
-  if (crashes->size() < most) {
+// Adds `c` to `*crashes`, which keeps the `max_crashes` newest. Returns whether
+// `c` was added.
+bool AddCrash(const Crash& c, size_t max_crashes, std::vector<Crash>* crashes) {
+  if (crashes->size() < max_crashes) {
     crashes->push_back(c);
     return true;
   }
@@ -271,14 +271,14 @@
 }
 
 std::vector<CrashRecord> Quarantine::ChangedSince(uint64_t seq,
-                                                  size_t most) const {
+                                                  size_t max_records) const {
   std::vector<const Entry*> changed;
   for (const auto& [fingerprint, e] : entries_) {
     if (e.seq > seq) changed.push_back(&e);
   }
   std::sort(changed.begin(), changed.end(),
             [](const Entry* a, const Entry* b) { return a->seq > b->seq; });
-  if (changed.size() > most) changed.resize(most);
+  if (changed.size() > max_records) changed.resize(max_records);
   std::vector<CrashRecord> out;
   for (const Entry* e : changed) out.push_back(e->record);
   return out;
--- a/src/policy/quarantine.h
+++ b/src/policy/quarantine.h
@@ -113,9 +113,9 @@
 
   // Returns the sequence number of the last change recorded or reported here.
   uint64_t seq() const { return seq_; }
-  // Returns the records that changed here after `seq`, at most the `most`
-  // latest.
-  std::vector<CrashRecord> ChangedSince(uint64_t seq, size_t most) const;
+  // Returns at most `max_records` records that changed here after `seq`, the
+  // latest changes first.
+  std::vector<CrashRecord> ChangedSince(uint64_t seq, size_t max_records) const;
   // Returns the records to publish to all processes: those with more than one
   // crash, sorted by fingerprint.
   std::vector<CrashRecord> Shared() const;
--- a/src/policy/routing_config.h
+++ b/src/policy/routing_config.h
@@ -46,7 +46,7 @@
   std::string label;       // Class in the metrics; empty: the tier.
 };
 
-// Limits of a model engine.
+// Limits of the model engines of a service.
 struct EngineLimits {
   int slots = 1;  // Requests that run at the same time.
 };
--- a/test/duty/duty_test.cc
+++ b/test/duty/duty_test.cc
@@ -93,9 +93,9 @@
   TimePoint now{};
   leadership.UpdateLeadership(true, 1, now);
   now += 5 * kSecond;
-  TimePoint asked = now;
+  TimePoint requested_at = now;
   now += 2 * kSecond;
-  leadership.RecordConfirmation(1, asked);
+  leadership.RecordConfirmation(1, requested_at);
   CHECK_FALSE(leadership.UsableToken(now).has_value());
   // A confirmation for another term does not count.
   leadership.RecordConfirmation(2, now);
