--- a/src/policy/limit_turns.cc
+++ b/src/policy/limit_turns.cc
@@ -21,11 +21,11 @@
 std::optional<Millis> OpenTurn(const TurnAsk& ask,
                                std::optional<Millis> taken) {
   double per_s = std::max(kMinPerS, ask.per_s);
-  int serving = std::max(1, ask.place.serving);
+  int serving = std::max(1, ask.process.serving);
   // Slot 0 belongs to a different process for each upstream.
   auto offset = static_cast<int>(StableHash(ask.upstream) %
                                  static_cast<uint64_t>(serving));
-  int index = (ask.place.place + offset) % serving;
+  int index = (ask.process.place + offset) % serving;
   Millis after = ask.time - kOpenTime;
   // After the clock is set back, `taken` may lie far in the future. It is then
   // ignored, as it would otherwise close all slots until the clock catches up.
--- a/src/policy/limit_turns.h
+++ b/src/policy/limit_turns.h
@@ -30,7 +30,7 @@
 struct TurnAsk {
   absl::string_view upstream;
   double per_s = 1;  // The rate limit of the upstream.
-  TurnPlace place;
+  TurnPlace process;
   // Now on the clock that all processes share; its epoch does not matter.
   Millis time{};
 };
--- a/src/policy/quarantine.cc
+++ b/src/policy/quarantine.cc
@@ -99,9 +99,9 @@
     int n = CountSeparateCrashes(unexplained, policy);
     if (n < policy.min_crashes) continue;
     // Of the unexplained crashes, those at which the request had just started.
-    std::vector<Crash> just_started;
+    std::vector<Crash> crashes_at_start;
     std::copy_if(unexplained.begin(), unexplained.end(),
-                 std::back_inserter(just_started),
+                 std::back_inserter(crashes_at_start),
                  [](const Crash& c) { return c.just_begun; });
     // Another request was in flight at all the same crashes.
     bool inseparable = std::any_of(
@@ -114,7 +114,7 @@
         });
     bool cause_is_clear =
         !inseparable &&
-        CountSeparateCrashes(just_started, policy) >= policy.min_crashes;
+        CountSeparateCrashes(crashes_at_start, policy) >= policy.min_crashes;
     if (!cause_is_clear && n < policy.min_crashes_if_ambiguous) continue;
     out.push_back(candidate.record->asks);
     for (const Crash& c : candidate.uncleared) explained.insert(c.upstream);
