--- a/src/policy/limit_turns.cc
+++ b/src/policy/limit_turns.cc
@@ -21,11 +21,11 @@
 std::optional<Millis> OpenTurn(const TurnAsk& ask,
                                std::optional<Millis> taken) {
   double per_s = std::max(kMinPerS, ask.per_s);
-  int serving = std::max(1, ask.process.serving);
+  int process_count = std::max(1, ask.process.serving);
   // Slot 0 belongs to a different process for each upstream.
   auto offset = static_cast<int>(StableHash(ask.upstream) %
-                                 static_cast<uint64_t>(serving));
-  int index = (ask.process.place + offset) % serving;
+                                 static_cast<uint64_t>(process_count));
+  int index = (ask.process.place + offset) % process_count;
   Millis after = ask.time - kOpenTime;
   // After the clock is set back, `taken` may lie far in the future. It is then
   // ignored, as it would otherwise close all slots until the clock catches up.
@@ -34,8 +34,8 @@
   // slot that begins at `after` must be excluded.
   double slots_before =
       (static_cast<double>(after.count()) + 0.5) / 1000.0 * per_s;
-  double cycle = std::floor((slots_before - index) / serving) + 1;
-  double begins_ms = (cycle * serving + index) / per_s * 1000.0;
+  double cycle = std::floor((slots_before - index) / process_count) + 1;
+  double begins_ms = (cycle * process_count + index) / per_s * 1000.0;
   Millis slot_start(static_cast<int64_t>(std::ceil(begins_ms)));
   if (slot_start > ask.time) return std::nullopt;
   return slot_start;
