--- a/src/policy/limit_turns.h
+++ b/src/policy/limit_turns.h
@@ -4,11 +4,12 @@
 //
 // Load pattern: hundreds of entries receive a dozen requests a second each, for
 // an upstream that accepts one request a second from all of them together. If
-// each entry had a share of the limit, it could send one request in minutes,
-// and all entries could send their saved-up requests at the same moment. So the
-// limit is a sequence of send slots on a clock that all processes share: slot k
-// begins at k / limit, and the slots are assigned to the processes round-robin.
-// One request may be sent in a slot, shortly after the slot begins.
+// each entry had a share of the limit, it could send one request every few
+// minutes, and all entries could send their saved-up requests at the same
+// moment. So the limit is a sequence of send slots on a clock that all
+// processes share: slot k begins at k / limit, and the slots are assigned to
+// the processes round-robin. One request may be sent in a slot, shortly after
+// the slot begins.
 #ifndef MEDLARWALK_LIMIT_TURNS_H_
 #define MEDLARWALK_LIMIT_TURNS_H_
 
--- a/src/policy/quarantine.h
+++ b/src/policy/quarantine.h
@@ -55,9 +55,9 @@
   // the request had not just started each time: most co-located requests had
   // not.
   int min_crashes_if_ambiguous = 5;
-  // A crash counts separately only if the request was sent there after the
-  // previous crash, within this tolerance for differing clocks: a power loss
-  // terminates many upstreams at once, whatever they run.
+  // A crash counts separately only if the request was sent to that upstream
+  // after the previous crash, within this tolerance for differing clocks: a
+  // power loss terminates many upstreams at once, whatever they run.
   Duration clock_tolerance = Millis(5);
   // Terminations closer together than this have a common cause. A request that
   // was moved away from the first upstream may have been in transit to the
--- a/src/usage_reporter.cc
+++ b/src/usage_reporter.cc
@@ -132,12 +132,12 @@
                     deliveries_.AcceptedThrough(subject)};
   r->ProposeDuty(std::move(record),
                  [this, window = *window, now](const absl::Status& s) {
-                   OnWindowCommitted(window, now, s);
+                   OnCommitFinished(window, now, s);
                  });
 }
 
-void UsageReporter::OnWindowCommitted(int64_t window, TimePoint began_at,
-                                      const absl::Status& s) {
+void UsageReporter::OnCommitFinished(int64_t window, TimePoint began_at,
+                                     const absl::Status& s) {
   committing_ = false;
   metrics_.CountDuty("usage_fixed", s.ok() ? "ok" : "unavailable");
   LogEvent("usage_fixed", {{"window", window},
--- a/src/usage_reporter.h
+++ b/src/usage_reporter.h
@@ -83,8 +83,8 @@
   void SampleOwnClock(TimePoint now);
   // Proposes the counts of the window that is due, if any, for commit.
   void CommitDueWindow(TimePoint now);
-  void OnWindowCommitted(int64_t window, TimePoint began_at,
-                         const absl::Status& s);
+  void OnCommitFinished(int64_t window, TimePoint began_at,
+                        const absl::Status& s);
   // Sends the oldest committed report that is due, if any.
   void SendDueReport(TimePoint now);
   // Returns whether a connection is established; opens one if there is none.
--- a/test/policy/quarantine_test.cc
+++ b/test/policy/quarantine_test.cc
@@ -125,8 +125,8 @@
 
 // Guards against the quarantine of a generation that was in flight at three
 // power losses, each of which terminated several engines. The request cannot
-// have terminated engines that did not have it. It is cleared when a process
-// receives the records of those later.
+// have terminated engines that did not have it. It is cleared when
+// the records of those engines arrive later.
 TEST(quarantine, ClearsCrashesThatCoincideWithOtherTerminations) {
   for (int n = 1; n <= 3; ++n) CrashUpstream(n, {kOther});
   CHECK_TRUE(q.Refuses(kOther));
