--- a/src/base/endpoint.h
+++ b/src/base/endpoint.h
@@ -1,4 +1,4 @@
-// Addresses as they stand in settings and in what outside systems tell.
+// Network addresses as written in settings and in other systems' documents.
 #ifndef MEDLARWALK_ENDPOINT_H_
 #define MEDLARWALK_ENDPOINT_H_
 
--- a/src/base/heap_use.h
+++ b/src/base/heap_use.h
@@ -1,4 +1,4 @@
-// What this process's allocator holds.
+// Memory usage of this process's heap allocator.
 #ifndef MEDLARWALK_HEAP_USE_H_
 #define MEDLARWALK_HEAP_USE_H_
 
@@ -8,12 +8,14 @@
 
 namespace medlarwalk {
 
+// Heap usage in bytes.
 struct HeapUse {
-  size_t in_use = 0;  // Bytes handed out.
-  size_t held = 0;    // Bytes taken from the host, those free again included.
+  size_t in_use = 0;  // Allocated by the program.
+  size_t held = 0;    // Obtained from the kernel, including free memory.
 };
 
-// Reads the allocator's own counts; about a microsecond, no system call.
+// Returns the allocator's own counters. Takes about a microsecond and makes no
+// system call.
 inline HeapUse ReadHeapUse() {
   struct mallinfo2 m = mallinfo2();
   return {m.uordblks + m.hblkhd, m.arena + m.hblkhd};
--- a/src/base/log.cc
+++ b/src/base/log.cc
@@ -23,26 +23,28 @@
   return logger;
 }
 
-// Lines a second in the long run, and at once: several times what a busy
-// entry writes, a tenth of what would cost it a share of its processor.
+// Sustained lines per second, and burst size. The limit is several times what
+// a busy entry writes, and a tenth of the rate that would take a noticeable
+// share of its CPU time.
 constexpr double kLinesPerSecond = 400;
-constexpr double kLinesAtOnce = 2000;
+constexpr double kLineBurst = 2000;
 
-LogGate& Gate() {
-  static LogGate gate(kLinesPerSecond, kLinesAtOnce);
-  return gate;
+LogRateLimiter& RateLimiter() {
+  static LogRateLimiter log_rate_limiter(kLinesPerSecond, kLineBurst);
+  return log_rate_limiter;
 }
 
-// Whether standard output takes a line without waiting.
+// Returns whether standard output accepts a line without blocking.
 bool Writable() {
   pollfd p{STDOUT_FILENO, POLLOUT, 0};
   return poll(&p, 1, 0) != 0;
 }
 
-// Whether a line may be written now. Tells in the log how many were not.
-bool Admit() {
-  if (!Gate().Admit(BootClock().Now(), Writable())) return false;
-  if (int64_t n = Gate().TakeUnreported()) {
+// Returns whether a line may be written now. Also logs how many lines were
+// dropped since the last such report.
+bool AllowLine() {
+  if (!RateLimiter().AllowLine(BootClock().Now(), Writable())) return false;
+  if (int64_t n = RateLimiter().TakeUnreported()) {
     LOG4CXX_WARN(Logger(), FormatEvent("lines_dropped", {{"lines", n}}));
   }
   return true;
@@ -102,15 +104,15 @@
 }
 
 void LogEvent(absl::string_view event, std::initializer_list<Field> fields) {
-  if (!Logger()->isInfoEnabled() || !Admit()) return;
+  if (!Logger()->isInfoEnabled() || !AllowLine()) return;
   LOG4CXX_INFO(Logger(), FormatEvent(event, fields));
 }
 
 void LogWarn(absl::string_view event, std::initializer_list<Field> fields) {
-  if (!Admit()) return;
+  if (!AllowLine()) return;
   LOG4CXX_WARN(Logger(), FormatEvent(event, fields));
 }
 
-int64_t LogLinesDropped() { return Gate().dropped(); }
+int64_t LogLinesDropped() { return RateLimiter().dropped(); }
 
 }  // namespace medlarwalk
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,4 +1,4 @@
-// Event log: one line of key=value pairs for each event, through log4cxx.
+// Event log: writes one line of key=value pairs per event, through log4cxx.
 #ifndef MEDLARWALK_LOG_H_
 #define MEDLARWALK_LOG_H_
 
@@ -12,7 +12,7 @@
 
 namespace medlarwalk {
 
-// One key and its value, already rendered as text.
+// One key-value pair of a log line, with the value rendered as text.
 struct Field {
   Field(absl::string_view k, absl::string_view v) : key(k), value(v) {}
   Field(absl::string_view k, const char* v) : key(k), value(v) {}
@@ -29,23 +29,24 @@
   std::string value;
 };
 
-// Sets up log4cxx to write to standard output. `process` names the role and
-// host and is the first pair of every line. `level` is debug, info or warn.
-// Call once, before the loop starts.
+// Configures log4cxx to write to standard output. `process` names the role and
+// host and becomes the first pair of every line. `level` is debug, info or
+// warn. Must be called once, before the event loop starts.
 void InitLog(absl::string_view process, absl::string_view level);
 
-// Renders `event` and `fields` as `event=NAME k=v ...`; values with spaces or
-// quotes are quoted. Exposed for tests.
+// Returns `event` and `fields` rendered as `event=NAME k=v ...`; values with
+// spaces or quotes are quoted. Exposed for tests.
 std::string FormatEvent(absl::string_view event,
                         std::initializer_list<Field> fields);
 
-// Writes one event line at info (or warn) level. Never waits: past a limit, or
-// when the reader does not keep up, the line is dropped and counted. Thread
-// safety: loop thread.
+// Writes one event line at info level. Never blocks: a line is dropped and
+// counted when the rate limit is exceeded or the reader of the log does not
+// keep up. Thread safety: loop thread only.
 void LogEvent(absl::string_view event, std::initializer_list<Field> fields);
+// Writes one event line at warn level, with the limits of LogEvent().
 void LogWarn(absl::string_view event, std::initializer_list<Field> fields);
 
-// Lines dropped since the process started.
+// Returns the number of log lines dropped since the process started.
 int64_t LogLinesDropped();
 
 }  // namespace medlarwalk
--- a/src/base/log_gate.h
+++ b/src/base/log_gate.h
@@ -1,5 +1,5 @@
-// Bounds what the log may write, so that a storm of events costs no request
-// its time and fills no disk.
+// Rate limit of the log, so that a burst of events neither delays requests nor
+// fills a disk.
 #ifndef MEDLARWALK_LOG_GATE_H_
 #define MEDLARWALK_LOG_GATE_H_
 
@@ -11,20 +11,21 @@
 
 namespace medlarwalk {
 
-// A token bucket of lines. Thread safety: loop thread only.
-class LogGate {
+// A token bucket that counts log lines. Thread safety: loop thread only.
+class LogRateLimiter {
  public:
-  // `rate` lines a second in the long run, `burst` at once.
-  LogGate(double rate, double burst)
+  // Allows `rate` lines per second on average and bursts of `burst` lines.
+  LogRateLimiter(double rate, double burst)
       : rate_(rate), burst_(burst), tokens_(burst) {}
 
-  // Whether one more line may be written at `now`; counts it as dropped if
-  // not. `writable`: the reader of the log keeps up.
-  bool Admit(TimePoint now, bool writable) {
-    if (at_ != TimePoint{}) {
-      tokens_ = std::min(burst_, tokens_ + rate_ * ToSeconds(now - at_));
+  // Returns whether one more line may be written at `now`; if not, counts the
+  // line as dropped. `writable`: the log accepts a line without blocking.
+  bool AllowLine(TimePoint now, bool writable) {
+    if (last_refill_ != TimePoint{}) {
+      tokens_ =
+          std::min(burst_, tokens_ + rate_ * ToSeconds(now - last_refill_));
     }
-    at_ = now;
+    last_refill_ = now;
     if (!writable || tokens_ < 1) {
       ++dropped_;
       ++unreported_;
@@ -34,14 +35,15 @@
     return true;
   }
   int64_t dropped() const { return dropped_; }
-  // Lines dropped since this was last asked, to be told in the log itself.
+  // Returns the number of lines dropped since the last call, to be reported in
+  // the log itself.
   int64_t TakeUnreported() { return std::exchange(unreported_, 0); }
 
  private:
   double rate_;
   double burst_;
   double tokens_;
-  TimePoint at_{};
+  TimePoint last_refill_{};
   int64_t dropped_ = 0;
   int64_t unreported_ = 0;
 };
--- a/src/base/metrics.cc
+++ b/src/base/metrics.cc
@@ -14,8 +14,8 @@
   return kBuckets;
 }
 
-prometheus::Histogram* TurnHistogram(const std::string& prefix,
-                                     prometheus::Registry& registry) {
+prometheus::Histogram* LoopIterationHistogram(const std::string& prefix,
+                                              prometheus::Registry& registry) {
   return &prometheus::BuildHistogram()
               .Name(prefix + "loop_turn_seconds")
               .Help("Time of one turn of the loop, without its wait")
@@ -28,10 +28,10 @@
 Metrics::Metrics(absl::string_view role)
     : registry_(std::make_shared<prometheus::Registry>()) {
   std::string prefix = "medlarwalk_" + std::string(role) + "_";
-  refusals_ = &prometheus::BuildCounter()
-                   .Name(prefix + "refusals_total")
-                   .Help("Requests turned away, by reason")
-                   .Register(*registry_);
+  rejections_ = &prometheus::BuildCounter()
+                     .Name(prefix + "refusals_total")
+                     .Help("Requests turned away, by reason")
+                     .Register(*registry_);
   retries_ = &prometheus::BuildCounter()
                   .Name(prefix + "retries_total")
                   .Help("Retries, by reason")
@@ -52,25 +52,26 @@
                  .Name(prefix + "queued")
                  .Help("Requests waiting, by class")
                  .Register(*registry_);
-  crashes_ = &prometheus::BuildCounter()
-                  .Name(prefix + "upstream_crashes_total")
-                  .Help("Upstreams that ended under requests, by how seen")
-                  .Register(*registry_);
-  limits_told_ = &prometheus::BuildCounter()
-                      .Name(prefix + "limits_told_total")
-                      .Help("Answers that name a limit on their upstream")
-                      .Register(*registry_)
-                      .Add({});
-  rests_ = &prometheus::BuildCounter()
-                .Name(prefix + "rests_asked_total")
-                .Help("Answers by which an upstream asks for rest")
-                .Register(*registry_)
-                .Add({});
-  limited_ = &prometheus::BuildGauge()
-                  .Name(prefix + "limited_upstreams")
-                  .Help("Upstreams whose own limit is in force")
-                  .Register(*registry_)
-                  .Add({});
+  upstream_terminations_ =
+      &prometheus::BuildCounter()
+           .Name(prefix + "upstream_crashes_total")
+           .Help("Upstreams that ended under requests, by how seen")
+           .Register(*registry_);
+  stated_limits_ = &prometheus::BuildCounter()
+                        .Name(prefix + "limits_told_total")
+                        .Help("Answers that name a limit on their upstream")
+                        .Register(*registry_)
+                        .Add({});
+  backoffs_ = &prometheus::BuildCounter()
+                   .Name(prefix + "rests_asked_total")
+                   .Help("Answers by which an upstream asks for rest")
+                   .Register(*registry_)
+                   .Add({});
+  limited_upstreams_ = &prometheus::BuildGauge()
+                            .Name(prefix + "limited_upstreams")
+                            .Help("Upstreams whose own limit is in force")
+                            .Register(*registry_)
+                            .Add({});
   quarantined_ = &prometheus::BuildGauge()
                       .Name(prefix + "quarantined")
                       .Help("Requests that crash upstreams, sent nowhere")
@@ -88,11 +89,11 @@
                    .Name(prefix + "list_age_seconds")
                    .Help("Age of the upstream list when heard of")
                    .Register(*registry_);
-  turns_ = TurnHistogram(prefix, *registry_);
+  loop_iterations_ = LoopIterationHistogram(prefix, *registry_);
 }
 
 void Metrics::CountRefusal(absl::string_view reason) {
-  refusals_->Add({{"reason", std::string(reason)}}).Increment();
+  rejections_->Add({{"reason", std::string(reason)}}).Increment();
 }
 
 void Metrics::CountRetry(absl::string_view reason) {
@@ -127,14 +128,16 @@
 }
 
 void Metrics::CountCrash(absl::string_view how) {
-  crashes_->Add({{"how", std::string(how)}}).Increment();
+  upstream_terminations_->Add({{"how", std::string(how)}}).Increment();
 }
 
-void Metrics::CountLimitTold() { limits_told_->Increment(); }
+void Metrics::CountLimitTold() { stated_limits_->Increment(); }
 
-void Metrics::CountRest() { rests_->Increment(); }
+void Metrics::CountRest() { backoffs_->Increment(); }
 
-void Metrics::SetLimited(size_t n) { limited_->Set(static_cast<double>(n)); }
+void Metrics::SetLimited(size_t n) {
+  limited_upstreams_->Set(static_cast<double>(n));
+}
 
 void Metrics::SetQuarantined(size_t n) {
   quarantined_->Set(static_cast<double>(n));
@@ -172,7 +175,7 @@
                  .Name("medlarwalk_control_duties_total")
                  .Help("Steps of duties, by what they came to")
                  .Register(*registry_);
-  turns_ = TurnHistogram("medlarwalk_control_", *registry_);
+  loop_iterations_ = LoopIterationHistogram("medlarwalk_control_", *registry_);
 }
 
 void ControlMetrics::ObserveCall(absl::string_view call,
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -1,6 +1,6 @@
 // Metrics: a prometheus-cpp registry per process, rendered in the text format
-// by the process's own HTTP server at /metrics. Counters carry a reason label
-// for each refusal and retry, so an operator sees why work was turned away.
+// by the process's own HTTP server at /metrics. The counters of rejections and
+// retries carry a reason label, so that an operator sees why requests failed.
 #ifndef MEDLARWALK_METRICS_H_
 #define MEDLARWALK_METRICS_H_
 
@@ -16,79 +16,80 @@
 
 namespace medlarwalk {
 
-// The metrics of one process. Thread safety: prometheus-cpp metrics are
-// thread safe; the process touches them from its loop thread only.
+// The metrics of an entry or agent process. Thread safety: prometheus-cpp
+// metrics are thread safe; the process uses them from its loop thread only.
 class Metrics {
  public:
   explicit Metrics(absl::string_view role);
 
-  // Counts one request turned away, by the error kind's code.
+  // Counts one rejected request, by the code of its error kind.
   void CountRefusal(absl::string_view reason);
   // Counts one retry, by its reason (e.g. not_run, connection_lost).
   void CountRetry(absl::string_view reason);
-  // Counts one request that finished, by class and outcome ("ok" or a code).
+  // Counts one finished request, by class and outcome ("ok" or a code).
   void CountFinished(absl::string_view klass, absl::string_view outcome);
-  // Records the time to first token, in seconds, for `klass`.
+  // Records the time to first token of a request of `klass`.
   void ObserveFirstToken(absl::string_view klass, double seconds);
-  // Records the whole request's duration, in seconds, for `klass`.
+  // Records the total duration of a request of `klass`.
   void ObserveDuration(absl::string_view klass, double seconds);
-  // Counts one update of the upstream list of `bytes` from a control process,
-  // by how it came: "whole", as a "difference", or "unfit" for what is held.
+  // Counts one update of the upstream list received from control, by its form:
+  // "whole" (a full list), "difference" (a delta), or "unfit" (a delta that
+  // does not apply to the list held).
   void CountListUpdate(absl::string_view how, size_t bytes);
-  // Records how old the list was, in seconds, when this process heard of it.
+  // Records the age of the upstream list when this process received it.
   void ObserveListAge(double seconds);
-  // Records how long one turn of the loop took, in seconds.
-  void ObserveTurn(double seconds) { turns_->Observe(seconds); }
-  // Counts one upstream that ended while it had requests of this process, by
-  // how that was seen.
+  // Records the duration of one loop iteration, without the wait for events.
+  void ObserveTurn(double seconds) { loop_iterations_->Observe(seconds); }
+  // Counts one upstream that terminated while it had requests of this process,
+  // by how the termination was detected.
   void CountCrash(absl::string_view how);
-  // Counts one answer that names a limit on its upstream's requests.
+  // Counts one answer that states a rate limit of its upstream.
   void CountLimitTold();
-  // Counts one answer that asks this process for rest.
+  // Counts one answer that requests a backoff from this process.
   void CountRest();
-  // Sets the number of upstreams whose limit is in force.
+  // Sets the number of upstreams whose stated rate limit is in force.
   void SetLimited(size_t n);
-  // Sets the number of requests that are sent nowhere.
+  // Sets the number of quarantined request fingerprints.
   void SetQuarantined(size_t n);
-  // Sets the queued requests of `klass`.
+  // Sets the number of queued requests of `klass`.
   void SetQueued(absl::string_view klass, double n);
 
-  // The registry in the Prometheus text format.
+  // Returns all metrics in the Prometheus text format.
   std::string Render() const;
 
  private:
   std::shared_ptr<prometheus::Registry> registry_;
-  prometheus::Family<prometheus::Counter>* refusals_;
+  prometheus::Family<prometheus::Counter>* rejections_;
   prometheus::Family<prometheus::Counter>* retries_;
   prometheus::Family<prometheus::Counter>* finished_;
   prometheus::Family<prometheus::Histogram>* first_token_;
   prometheus::Family<prometheus::Histogram>* duration_;
   prometheus::Family<prometheus::Gauge>* queued_;
-  prometheus::Family<prometheus::Counter>* crashes_;
-  prometheus::Counter* limits_told_;
-  prometheus::Counter* rests_;
-  prometheus::Gauge* limited_;
+  prometheus::Family<prometheus::Counter>* upstream_terminations_;
+  prometheus::Counter* stated_limits_;
+  prometheus::Counter* backoffs_;
+  prometheus::Gauge* limited_upstreams_;
   prometheus::Gauge* quarantined_;
   prometheus::Family<prometheus::Counter>* list_updates_;
   prometheus::Family<prometheus::Counter>* list_bytes_;
   prometheus::Family<prometheus::Histogram>* list_age_;
-  prometheus::Histogram* turns_;
+  prometheus::Histogram* loop_iterations_;
 };
 
 // The metrics of a control process. Thread safety: loop thread only.
 class ControlMetrics {
  public:
-  // What fills its memory, in bytes.
+  // Memory use of the control process, in bytes.
   struct Memory {
-    size_t config = 0;  // The newest committed document.
-    size_t log = 0;     // Log entries beside the snapshot.
-    size_t log_entries = 0;
-    size_t peers = 0;      // Waits for other control processes to take it.
-    size_t watchers = 0;   // Waits for askers to take it.
-    size_t heap = 0;       // In use, all together.
-    size_t heap_held = 0;  // Taken from the host.
+    size_t config = 0;       // The newest committed configuration.
+    size_t log = 0;          // Log entries after the snapshot.
+    size_t log_entries = 0;  // Number of log entries; not bytes.
+    size_t peers = 0;        // Queued for other control processes.
+    size_t watchers = 0;     // Queued for watching processes.
+    size_t heap = 0;         // Allocated on the heap in total.
+    size_t heap_held = 0;    // Obtained from the kernel by the allocator.
   };
-  // What the process holds and believes now.
+  // The current state of the control process.
   struct State {
     Memory memory;
     bool leader = false;
@@ -96,22 +97,25 @@
     int64_t config_version = 0;
     size_t voters = 0;
     size_t followers = 0;
-    size_t quarantined = 0;  // Requests that are sent nowhere.
-    double step_age_s = -1;  // Since it was last in step; negative: never.
-    double list_age_s = -1;  // Since the list was read; negative: never.
+    size_t quarantined = 0;  // Quarantined request fingerprints.
+    double step_age_s = -1;  // Since last in sync with the leader; < 0: never.
+    double list_age_s = -1;  // Since the upstream list was read; < 0: never.
   };
   ControlMetrics();
-  // Counts one operator's call by what it came to, and its time in seconds.
+  // Records one operator call, with its outcome and duration.
   void ObserveCall(absl::string_view call, absl::string_view outcome,
                    double seconds);
-  // Counts one watch answered: with a configuration, a list or nothing new.
+  // Counts one answered watch, by what was published: a configuration, a list
+  // or nothing new.
   void CountWatch(absl::string_view what);
-  // Counts one list told, "whole" or as a "difference", and its bytes.
+  // Counts one published upstream list and its size, by its form: "whole" or
+  // "difference".
   void CountListTold(absl::string_view how, size_t bytes);
-  // Counts one step of a duty by what it came to.
+  // Counts one step of a duty, by its outcome.
   void CountDuty(absl::string_view step, absl::string_view outcome);
-  // Records how long one turn of the loop took, in seconds.
-  void ObserveTurn(double seconds) { turns_->Observe(seconds); }
+  // Records the duration of one loop iteration, without the wait for events.
+  void ObserveTurn(double seconds) { loop_iterations_->Observe(seconds); }
+  // Sets the gauges of the process's state.
   void Set(const State& s);
   std::string Render() const;
 
@@ -123,10 +127,11 @@
   prometheus::Family<prometheus::Counter>* list_bytes_;
   prometheus::Family<prometheus::Gauge>* state_;
   prometheus::Family<prometheus::Counter>* duties_;
-  prometheus::Histogram* turns_;
+  prometheus::Histogram* loop_iterations_;
 };
 
-// `registry` in the Prometheus text format, with the log lines dropped.
+// Returns `registry` in the Prometheus text format, with the heap use of the
+// process and the number of dropped log lines appended.
 std::string RenderRegistry(const prometheus::Registry& registry);
 
 }  // namespace medlarwalk
--- a/src/base/random_seed.h
+++ b/src/base/random_seed.h
@@ -1,4 +1,4 @@
-// A seed that differs in every run of every process.
+// Random seeds for pseudo-random generators.
 #ifndef MEDLARWALK_RANDOM_SEED_H_
 #define MEDLARWALK_RANDOM_SEED_H_
 
@@ -7,6 +7,7 @@
 
 namespace medlarwalk {
 
+// Returns a random seed that differs between processes and between runs.
 inline uint64_t RandomSeed() {
   std::random_device rd;
   return (static_cast<uint64_t>(rd()) << 32) | rd();
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -22,12 +22,11 @@
 using Millis = std::chrono::milliseconds;
 
 // Source of time for every decision that depends on it. Passed in through
-// constructors so that tests drive time by hand. Thread safety: each
-// implementation is read from the one loop thread only.
+// constructors so that tests control time. Thread safety: loop thread only.
 class Clock {
  public:
   virtual ~Clock() = default;
-  // The current monotonic time.
+  // Returns the current monotonic time.
   virtual TimePoint Now() const = 0;
 };
 
@@ -37,10 +36,10 @@
   TimePoint Now() const override { return std::chrono::steady_clock::now(); }
 };
 
-// A monotonic clock that goes on counting while the machine is suspended
-// (CLOCK_BOOTTIME). Leases and freshness are judged by it: on steady_clock a
-// frozen and woken process would believe that no time had passed and act on a
-// lease that ended long ago.
+// A monotonic clock that keeps counting while the host is suspended
+// (CLOCK_BOOTTIME). Used for leases and for the age of data: with
+// std::chrono::steady_clock, a process that resumes after a suspension would
+// measure no elapsed time and act on a lease that has expired.
 class BootClock : public Clock {
  public:
   TimePoint Now() const override {
@@ -51,7 +50,7 @@
   }
 };
 
-// A clock that moves only when told to; for tests and the bench.
+// A clock that moves only on Advance(); for tests and the bench.
 class ManualClock : public Clock {
  public:
   TimePoint Now() const override { return now_; }
@@ -62,18 +61,19 @@
   TimePoint now_{};
 };
 
-// Milliseconds of `d`, rounded down.
+// Converts `d` to milliseconds, rounded toward zero.
 inline int64_t ToMs(Duration d) {
   return std::chrono::duration_cast<Millis>(d).count();
 }
 
-// Seconds of `d`, for libev timers.
+// Converts `d` to seconds, the unit of libev timers.
 inline double ToSeconds(Duration d) {
   return std::chrono::duration<double>(d).count();
 }
 
-// `seconds` from outside as a Duration, a year either way at most: beyond what
-// a Duration holds the conversion is undefined. No number is no time.
+// Converts `seconds` from an untrusted source to a Duration, clamped to one
+// year in either direction: conversion of a value outside the range of Duration
+// is undefined. NaN becomes zero.
 inline Duration BoundedSeconds(double seconds) {
   constexpr double kYear = 365.0 * 24 * 3600;
   if (std::isnan(seconds)) return Duration::zero();
@@ -81,21 +81,21 @@
       std::chrono::duration<double>(std::clamp(seconds, -kYear, kYear)));
 }
 
-// The same for milliseconds.
+// Converts `ms` from an untrusted source to a Duration, as BoundedSeconds().
 inline Duration BoundedMs(double ms) { return BoundedSeconds(ms / 1000); }
 
-// Header fields in the order received, names as written by the sender.
+// Header fields in the order received, with names as the sender wrote them.
 using HeaderList = std::vector<std::pair<std::string, std::string>>;
 
-// A tier orders classes of work: 0 is the most protected. A request of a
-// lower tier (higher number) is never served in place of a higher one except
-// through the starvation bound.
+// The priority of a class of work: tier 0 is the highest. A request of a lower
+// tier (higher number) is served before one of a higher tier only when it has
+// waited for the starvation bound.
 using Tier = int;
 
-// Identifies one caller request across entry, agent and logs.
+// Identifies one request of a caller across entry, agent and logs.
 using RequestId = uint64_t;
 
-// Limits on what callers may send and how long they may take.
+// Limits on the size of callers' requests and on the time to send them.
 struct CallerLimits {
   uint32_t header_bytes = 16384;
   uint64_t body_bytes = 4194304;
@@ -103,15 +103,15 @@
   Duration idle_timeout = std::chrono::seconds(15);
 };
 
-// A hash that is the same in every process and every run (xxHash, XXH3).
-// Routing and the at-most-once ledger need this: absl::Hash is seeded anew in
-// each process, so two entries would send one idempotency key to different
-// agents, and a restarted agent would not know its own fingerprints.
+// Returns a hash (xxHash, XXH3) that is the same in every process and every
+// run. Routing and the at-most-once ledger depend on it. absl::Hash is seeded
+// per process: two entries would send one idempotency key to different agents,
+// and a restarted agent would not recognize its stored fingerprints.
 inline uint64_t StableHash(absl::string_view data, uint64_t seed = 0) {
   return XXH3_64bits_withSeed(data.data(), data.size(), seed);
 }
 
-// Header names of the callers' API (toward the entry).
+// Header names of the API that entries offer to callers.
 inline constexpr char kHeaderAccount[] = "X-Client-Account";
 inline constexpr char kHeaderClass[] = "X-Class";
 inline constexpr char kHeaderIdempotencyKey[] = "Idempotency-Key";
@@ -129,11 +129,11 @@
 inline constexpr char kH2Fencing[] = "mw-fencing";
 inline constexpr char kH2NotRepeatable[] = "mw-not-repeatable";
 
-// Upper bound on any request body the entry accepts, in bytes.
+// Largest request body that an entry accepts, in bytes.
 inline constexpr size_t kMaxBodyBytes = 1 << 20;
 
-// Upper bound on any body between our own processes, in bytes: a whole
-// configuration (4 MiB at most) with its framing.
+// Largest body of a message between medlarwalk's own processes, in bytes: a
+// full configuration (4 MiB at most) with its framing.
 inline constexpr size_t kMaxLinkBodyBytes = 8 << 20;
 
 }  // namespace medlarwalk
--- a/test/base/errors_test.cc
+++ b/test/base/errors_test.cc
@@ -6,8 +6,8 @@
 
 TEST_GROUP(errors){};
 
-// Every kind has its own code and the code leads back to the kind, so a kind
-// carried across the HTTP/2 link (as a header) is read back as itself.
+// Guards against two kinds with the same code. The HTTP/2 link carries a kind
+// as its code in a header, and the receiver must decode the same kind.
 TEST(errors, EveryKindRoundTripsThroughItsCode) {
   for (int i = 0; i < kErrorKindCount; ++i) {
     auto kind = static_cast<ErrorKind>(i);
@@ -17,8 +17,8 @@
   }
 }
 
-// Every answer that tells the caller to come back says when.
-TEST(errors, ComeBackAnswersCarryRetryAfter) {
+// Guards against an answer that asks the caller to retry without Retry-After.
+TEST(errors, RetryLaterAnswersCarryRetryAfter) {
   for (int i = 0; i < kErrorKindCount; ++i) {
     const Answer& a = AnswerFor(static_cast<ErrorKind>(i));
     if (a.http_status == 503 || a.http_status == 429) CHECK(a.retry_after);
--- a/test/base/log_test.cc
+++ b/test/base/log_test.cc
@@ -1,4 +1,4 @@
-// The log is bounded and says so.
+// The rate limit of the log.
 #include "CppUTest/TestHarness.h"
 #include "log_gate.h"
 
@@ -6,24 +6,24 @@
 
 TEST_GROUP(log){};
 
-// Symptom: a storm of events takes the processor from the requests it tells
-// of, or a reader that has stopped holds the process up. Past the limit, or
-// while the reader does not keep up, lines are dropped and counted; the count
-// is told once.
-TEST(log, IsBoundedAndCountsWhatItDrops) {
+// Guards against a burst of log events that takes CPU time from requests, and
+// against a stalled reader of the log that blocks the process. Lines over the
+// limit, or while the reader does not keep up, are dropped and counted; the
+// count is reported once.
+TEST(log, LimitsLinesAndCountsDroppedLines) {
   TimePoint now(std::chrono::hours(1));
-  LogGate gate(100, 10);
+  LogRateLimiter log_rate_limiter(100, 10);
   int written = 0;
-  for (int i = 0; i < 50; ++i) written += gate.Admit(now, true);
+  for (int i = 0; i < 50; ++i) written += log_rate_limiter.AllowLine(now, true);
   LONGS_EQUAL(10, written);
-  LONGS_EQUAL(40, gate.dropped());
-  LONGS_EQUAL(40, gate.TakeUnreported());
-  LONGS_EQUAL(0, gate.TakeUnreported());
+  LONGS_EQUAL(40, log_rate_limiter.dropped());
+  LONGS_EQUAL(40, log_rate_limiter.TakeUnreported());
+  LONGS_EQUAL(0, log_rate_limiter.TakeUnreported());
   now += std::chrono::milliseconds(50);
   written = 0;
-  for (int i = 0; i < 50; ++i) written += gate.Admit(now, true);
+  for (int i = 0; i < 50; ++i) written += log_rate_limiter.AllowLine(now, true);
   LONGS_EQUAL(5, written);
   now += std::chrono::seconds(1);
-  CHECK_FALSE(gate.Admit(now, false));
-  CHECK_TRUE(gate.Admit(now, true));
+  CHECK_FALSE(log_rate_limiter.AllowLine(now, false));
+  CHECK_TRUE(log_rate_limiter.AllowLine(now, true));
 }
