--- a/src/bench.cc
+++ b/src/bench.cc
@@ -18,10 +18,10 @@
 constexpr int kUpstreams = 6;
 constexpr int kSlots = 8;
 constexpr auto kStep = std::chrono::milliseconds(1);
-constexpr size_t kMostWaiting = 128;
+constexpr size_t kMaxWaiting = 128;
 constexpr char kService[] = "engine";
-// Classes of the trace: tier, latency target, share of arrivals, tokens, and
-// how long an idle engine works on one.
+// A class of work in the trace: tier, latency target, share of arrivals, tokens
+// of prompt and output, and the time that an idle engine takes for a request.
 struct TraceClass {
   Tier tier;
   Millis target;
@@ -35,17 +35,18 @@
     {1, Millis(800), 0.2, 1000, 50, Millis(80)},
     {3, Millis(8000), 0.6, 4000, 80, Millis(110)}};
 constexpr int kClassCount = 3;
-// Arrivals a millisecond: 1.5 times what the slots can serve, where a request
-// takes this long beside a full batch.
+// Mean duration of a request in a full batch. Arrivals per millisecond are 1.5
+// times what all slots can serve at that duration.
 constexpr double kWorkInFullBatchMs = 190;
 constexpr double kArrivalsPerMs =
     1.5 * kUpstreams * kSlots / kWorkInFullBatchMs;
-// Subjects whose prompts share their leading part.
-constexpr uint64_t kSubjects = 40;
+// Number of distinct prompt prefixes; requests with the same one share half of
+// their prompt.
+constexpr uint64_t kPromptPrefixes = 40;
 
-// Folds one decision into the signature with a hash that is the same in
-// every run (absl::Hash is seeded per process, so it cannot sign a run).
-uint64_t Mix(uint64_t sig, uint64_t a, uint64_t b, uint64_t c = 0) {
+// Returns signature `sig` extended by one decision. Uses StableHash() because
+// absl::Hash is seeded per process and differs between runs.
+uint64_t ExtendSignature(uint64_t sig, uint64_t a, uint64_t b, uint64_t c = 0) {
   uint64_t words[3] = {a, b, c};
   return StableHash(
       absl::string_view(reinterpret_cast<const char*>(words), sizeof(words)),
@@ -55,7 +56,7 @@
 struct Arrival {
   int klass = 0;
   TimePoint at{};
-  uint64_t subject = 0;
+  uint64_t prompt_prefix = 0;
 };
 
 struct Running {
@@ -69,15 +70,15 @@
   WaitingPolicy waiting;
 };
 
-// One pass over the trace.
-class Pass {
+// One run of a policy over the trace.
+class TracePass {
  public:
-  Pass(int requests, uint64_t seed, const Policy& policy)
+  TracePass(int requests, uint64_t seed, const Policy& policy)
       : requests_(requests),
         policy_(policy),
-        arrivals_(seed),
-        draws_(seed + 1),
-        room_(policy.waiting) {
+        arrival_rng_(seed),
+        placement_rng_(seed + 1),
+        queue_(policy.waiting) {
     for (int i = 0; i < kUpstreams; ++i) {
       UpstreamBoard b;
       b.info.id = absl::StrCat("u", i);
@@ -90,41 +91,43 @@
 
   void Run() {
     while (static_cast<int>(trace_.size()) < requests_ || !running_.empty() ||
-           room_.size(kService) > 0) {
+           queue_.size(kService) > 0) {
       clock_.Advance(kStep);
-      EndDue();
-      auto began = std::chrono::steady_clock::now();
-      Arrive();
-      for (uint64_t seq : room_.Expired(clock_.Now())) {
-        room_.Leave(seq);
-        Refused(seq);
+      FinishDueRequests();
+      auto started = std::chrono::steady_clock::now();
+      GenerateArrivals();
+      for (uint64_t seq : queue_.Expired(clock_.Now())) {
+        queue_.Leave(seq);
+        RecordRejection(seq);
       }
-      std::set<std::pair<int, uint64_t>> full;  // As the gateway does.
-      for (uint64_t seq : room_.InOrder(kService, clock_.Now())) {
-        std::pair<int, uint64_t> alike(trace_[seq].klass, trace_[seq].subject);
-        if (full.count(alike)) continue;
+      // As in the gateway: once a request finds no slot, skip similar ones.
+      std::set<std::pair<int, uint64_t>> without_slot;
+      for (uint64_t seq : queue_.InOrder(kService, clock_.Now())) {
+        std::pair<int, uint64_t> similar(trace_[seq].klass,
+                                         trace_[seq].prompt_prefix);
+        if (without_slot.count(similar)) continue;
         if (!TrySend(seq)) {
-          full.insert(alike);
+          without_slot.insert(similar);
           continue;
         }
-        room_.Served(seq, clock_.Now());
-        room_.NotePlace(kService, clock_.Now());
+        queue_.Served(seq, clock_.Now());
+        queue_.NotePlace(kService, clock_.Now());
       }
-      decide_ns_ += std::chrono::duration<double, std::nano>(
-                        std::chrono::steady_clock::now() - began)
-                        .count();
+      decision_ns_ += std::chrono::duration<double, std::nano>(
+                          std::chrono::steady_clock::now() - started)
+                          .count();
     }
   }
 
   uint64_t signature() const { return sig_; }
-  double ns_per_request() const { return decide_ns_ / requests_; }
+  double ns_per_request() const { return decision_ns_ / requests_; }
   int served[kClassCount] = {};
-  int refused[kClassCount] = {};
+  int rejected[kClassCount] = {};
   int top_shed = 0;
   double longest_low_wait_s = 0;
 
  private:
-  void EndDue() {
+  void FinishDueRequests() {
     for (auto it = running_.begin(); it != running_.end();) {
       if (it->done > clock_.Now()) {
         ++it;
@@ -137,24 +140,24 @@
     }
   }
 
-  void Arrive() {
+  void GenerateArrivals() {
     std::uniform_real_distribution<double> draw(0, 1);
-    int n = std::poisson_distribution<int>(kArrivalsPerMs)(arrivals_);
+    int n = std::poisson_distribution<int>(kArrivalsPerMs)(arrival_rng_);
     for (; n > 0 && static_cast<int>(trace_.size()) < requests_; --n) {
-      double x = draw(arrivals_);
+      double x = draw(arrival_rng_);
       int k = 0;
       while (k + 1 < kClassCount && x >= kClasses[k].share) {
         x -= kClasses[k++].share;
       }
-      trace_.push_back({k, clock_.Now(), 1 + arrivals_() % kSubjects});
-      Enter(trace_.size() - 1);
+      trace_.push_back({k, clock_.Now(), 1 + arrival_rng_() % kPromptPrefixes});
+      EnterRequest(trace_.size() - 1);
     }
   }
 
-  void Enter(uint64_t seq) {
+  void EnterRequest(uint64_t seq) {
     const Arrival& a = trace_[seq];
     if (TrySend(seq)) {
-      room_.NotePlace(kService, clock_.Now());
+      queue_.NotePlace(kService, clock_.Now());
       return;
     }
     WaitingRequest w;
@@ -164,35 +167,35 @@
     w.until = a.at + kClasses[a.klass].target;
     w.service = kService;
     std::optional<uint64_t> shed;
-    absl::Status s = room_.Enter(std::move(w), &shed);
+    absl::Status s = queue_.Enter(std::move(w), &shed);
     if (shed) {
       top_shed += trace_[*shed].klass == 0;
-      Refused(*shed);
+      RecordRejection(*shed);
     }
-    if (!s.ok()) Refused(seq);
+    if (!s.ok()) RecordRejection(seq);
   }
 
   bool TrySend(uint64_t seq) {
     const Arrival& a = trace_[seq];
     const TraceClass& c = kClasses[a.klass];
     TimePoint now = clock_.Now();
-    PlacementAsk ask;
-    ask.service = kService;
-    ask.affinity = a.subject;
-    ask.shared_tokens = c.prompt / 2;
-    ask.shape = ShapeOf(c.prompt, c.output, policy_.placement);
+    PlacementAsk placement_request;
+    placement_request.service = kService;
+    placement_request.affinity = a.prompt_prefix;
+    placement_request.shared_tokens = c.prompt / 2;
+    placement_request.shape = ShapeOf(c.prompt, c.output, policy_.placement);
     DecodeDemand demand;
     demand.in_flight =
         DecodeLoad(boards_, kService, decode_engines_, now, policy_.placement);
     decode_engines_ = DecodeEngines(demand, decode_engines_, kSlots, kUpstreams,
                                     policy_.placement);
-    ask.decode_engines = decode_engines_;
+    placement_request.decode_engines = decode_engines_;
     std::uniform_real_distribution<double> draw(0, 1);
-    std::optional<size_t> i =
-        Place(boards_, ask, now, draw(draws_), policy_.placement);
+    std::optional<size_t> i = Place(boards_, placement_request, now,
+                                    draw(placement_rng_), policy_.placement);
     if (!i) return false;
     UpstreamBoard& u = boards_[*i];
-    // A batch slows each of its requests.
+    // Each request takes longer in a larger batch.
     auto work = c.work + c.work * u.in_flight / kSlots;
     ++u.in_flight;
     NotePrefill(u, static_cast<double>(c.prompt), now, policy_.placement);
@@ -201,27 +204,27 @@
     if (a.klass == kClassCount - 1) {
       longest_low_wait_s = std::max(longest_low_wait_s, ToSeconds(now - a.at));
     }
-    sig_ = Mix(sig_, seq, *i);
+    sig_ = ExtendSignature(sig_, seq, *i);
     return true;
   }
 
-  void Refused(uint64_t seq) {
-    ++refused[trace_[seq].klass];
-    sig_ = Mix(sig_, seq, ~0ULL);
+  void RecordRejection(uint64_t seq) {
+    ++rejected[trace_[seq].klass];
+    sig_ = ExtendSignature(sig_, seq, ~0ULL);
   }
 
   int requests_;
   Policy policy_;
   ManualClock clock_;
-  std::mt19937_64 arrivals_;
-  std::mt19937_64 draws_;
-  WaitingRoom room_;
+  std::mt19937_64 arrival_rng_;
+  std::mt19937_64 placement_rng_;
+  WaitingRoom queue_;
   std::vector<UpstreamBoard> boards_;
   int decode_engines_ = 0;
   std::vector<Arrival> trace_;
   std::vector<Running> running_;
   uint64_t sig_ = 0;
-  double decide_ns_ = 0;
+  double decision_ns_ = 0;
 };
 
 }  // namespace
@@ -229,26 +232,26 @@
 BenchReport RunBench(int requests, uint64_t seed) {
   BenchReport r;
   r.requests = requests;
-  Policy ours;
-  ours.waiting.most_waiting = kMostWaiting;
-  ours.waiting.refuse_unmeetable = true;
-  ours.waiting.starvation_bound = std::chrono::seconds(4);
-  Pass pass(requests, seed, ours);
-  pass.Run();
-  r.signature = pass.signature();
-  r.top_tier_served = pass.served[0];
-  r.top_tier_shed = pass.top_shed;
-  r.lowest_tier_served = pass.served[kClassCount - 1];
-  r.max_lowest_wait_s = pass.longest_low_wait_s;
-  r.ns_per_request = pass.ns_per_request();
-  Policy naive;
-  naive.waiting.most_waiting = kMostWaiting;
-  naive.waiting.tiered = false;
-  naive.placement.blind = true;
-  Pass baseline(requests, seed, naive);
-  baseline.Run();
-  r.naive_top_tier_refused = baseline.refused[0];
-  r.naive_ns_per_request = baseline.ns_per_request();
+  Policy tiered_policy;
+  tiered_policy.waiting.most_waiting = kMaxWaiting;
+  tiered_policy.waiting.refuse_unmeetable = true;
+  tiered_policy.waiting.starvation_bound = std::chrono::seconds(4);
+  TracePass tiered_pass(requests, seed, tiered_policy);
+  tiered_pass.Run();
+  r.signature = tiered_pass.signature();
+  r.top_tier_served = tiered_pass.served[0];
+  r.top_tier_shed = tiered_pass.top_shed;
+  r.lowest_tier_served = tiered_pass.served[kClassCount - 1];
+  r.max_lowest_wait_s = tiered_pass.longest_low_wait_s;
+  r.ns_per_request = tiered_pass.ns_per_request();
+  Policy naive_policy;
+  naive_policy.waiting.most_waiting = kMaxWaiting;
+  naive_policy.waiting.tiered = false;
+  naive_policy.placement.blind = true;
+  TracePass naive_pass(requests, seed, naive_policy);
+  naive_pass.Run();
+  r.naive_top_tier_refused = naive_pass.rejected[0];
+  r.naive_ns_per_request = naive_pass.ns_per_request();
   return r;
 }
 
--- a/src/bench.h
+++ b/src/bench.h
@@ -1,8 +1,8 @@
-// The built-in bench: a deterministic run of the decisions (waiting, placement)
-// and of the naive baseline (any free upstream, first come) over one trace, on
-// a manual clock. It prints a signature of every decision, so that any change
-// in behaviour shows in the commit that made it, and the cost per request of
-// each policy, so that speed is compared in one run.
+// The built-in benchmark: runs the queueing and placement decisions and a naive
+// baseline (any free upstream, first come first served) over one trace, on a
+// manual clock. It reports a signature over all decisions, which reveals any
+// change in behaviour, and the decision cost per request of both policies, so
+// that their speed is compared within one run.
 #ifndef MEDLARWALK_BENCH_H_
 #define MEDLARWALK_BENCH_H_
 
@@ -11,9 +11,9 @@
 
 namespace medlarwalk {
 
-// Figures of one bench run.
+// Results of one benchmark run.
 struct BenchReport {
-  uint64_t signature = 0;  // Hash of all decisions of our policy.
+  uint64_t signature = 0;  // Hash of all decisions of the tiered policy.
   int requests = 0;
   int top_tier_shed = 0;  // Must be 0.
   int top_tier_served = 0;
@@ -21,15 +21,15 @@
   double max_lowest_wait_s =
       0;  // Longest wait of a served lowest-tier request.
   int naive_top_tier_refused =
-      0;                      // What the naive baseline does to the top tier.
-  double ns_per_request = 0;  // Our policy's decision cost.
-  double naive_ns_per_request = 0;  // The baseline's.
+      0;                      // Top-tier requests that the baseline rejected.
+  double ns_per_request = 0;  // Decision cost of the tiered policy.
+  double naive_ns_per_request = 0;  // Decision cost of the baseline.
 };
 
-// Runs the bench over `requests` requests from `seed`.
+// Runs the benchmark over a trace of `requests` requests generated from `seed`.
 BenchReport RunBench(int requests, uint64_t seed);
 
-// The report as lines of text; the first line is the signature.
+// Returns the report as lines of text; the first line is the signature.
 std::string FormatBench(const BenchReport& r);
 
 }  // namespace medlarwalk
--- a/src/drill.cc
+++ b/src/drill.cc
@@ -11,18 +11,21 @@
 namespace medlarwalk {
 namespace {
 
-constexpr char kVariable[] = "MEDLARWALK_DRILL";
+constexpr char kDrillVariable[] = "MEDLARWALK_DRILL";
 constexpr int kMicrosPerMilli = 1000;
-// A drill's disk is never slower than this: the platform's hang for seconds.
-constexpr int kMostDiskMs = 10000;
+// Upper bound of the injected write delay. Disks of the platform hang for
+// seconds.
+constexpr int kMaxDiskDelayMs = 10000;
 
-// An object; empty where the file cannot be read or is half written.
-nlohmann::json Read(const std::string& path) {
+// Returns the JSON object in the file at `path`; an empty object when the file
+// cannot be read or is incomplete.
+nlohmann::json ReadJsonObject(const std::string& path) {
   std::ifstream in(path);
   nlohmann::json j = nlohmann::json::parse(in, nullptr, false);
   return j.is_object() ? j : nlohmann::json::object();
 }
 
+// Returns the integer with key `name` in `j`, or 0.
 int IntAt(const nlohmann::json& j, const char* name) {
   auto it = j.find(name);
   return it != j.end() && it->is_number_integer() ? it->get<int>() : 0;
@@ -32,18 +35,18 @@
 
 Drill Drill::FromEnvironment() {
   Drill d;
-  if (const char* path = std::getenv(kVariable)) d.path_ = path;
+  if (const char* path = std::getenv(kDrillVariable)) d.path_ = path;
   return d;
 }
 
 int Drill::peer_listen_port() const {
-  return active() ? IntAt(Read(path_), "peer_listen_port") : 0;
+  return active() ? IntAt(ReadJsonObject(path_), "peer_listen_port") : 0;
 }
 
 absl::Status Drill::BeforeWrite() const {
   if (!active()) return absl::OkStatus();
-  nlohmann::json j = Read(path_);
-  int ms = std::min(IntAt(j, "disk_ms"), kMostDiskMs);
+  nlohmann::json j = ReadJsonObject(path_);
+  int ms = std::min(IntAt(j, "disk_ms"), kMaxDiskDelayMs);
   if (ms > 0) usleep(static_cast<useconds_t>(ms * kMicrosPerMilli));
   auto full = j.find("disk_full");
   if (full != j.end() && *full == true) {
--- a/src/drill.h
+++ b/src/drill.h
@@ -1,5 +1,6 @@
-// Faults on purpose in one running process: what a fault drill cannot do from
-// outside without privileges. Off unless the environment names a file.
+// Fault injection inside a running process, for faults that a fault drill
+// cannot cause from outside without privileges. Off unless the environment
+// variable MEDLARWALK_DRILL names a file.
 #ifndef MEDLARWALK_DRILL_H_
 #define MEDLARWALK_DRILL_H_
 
@@ -9,20 +10,21 @@
 
 namespace medlarwalk {
 
-// The file named by MEDLARWALK_DRILL: a JSON object with any of
-//   "peer_listen_port"  where a control process listens while others reach it
-//                       through a forwarder at its own address;
-//   "disk_ms"           how long each write to disk takes longer;
-//   "disk_full"         writes to disk fail half way.
-// The disk's faults are read anew for each write, so that they come and go.
-// Thread safety: none needed; holds a path only.
+// The faults to inject. The file is a JSON object with any of these keys:
+//   "peer_listen_port"  Port on which a control process listens, while others
+//                       reach it through a forwarder at its configured address.
+//   "disk_ms"           Extra duration of each write to disk, in milliseconds.
+//   "disk_full"         Writes to disk fail after half of the data.
+// The file is read again before each write, so that disk faults can be switched
+// on and off. Thread safety: thread safe; holds only a path.
 class Drill {
  public:
-  // From the environment; does nothing where that names no file.
+  // Returns the drill that the environment names, or an inactive one.
   static Drill FromEnvironment();
   bool active() const { return !path_.empty(); }
   int peer_listen_port() const;
-  // Blocks as a slow disk does. Errors: Unavailable as of a full disk.
+  // Applies the disk faults before a write: blocks like a slow disk. Errors:
+  // Unavailable, as on a full disk.
   absl::Status BeforeWrite() const;
 
  private:
--- a/src/event_stream.h
+++ b/src/event_stream.h
@@ -1,6 +1,6 @@
-// Splits a body of server-sent events into whole events, so that an event cut
-// in the middle is never passed on and a stream can go on elsewhere after the
-// last whole one.
+// Splits a stream of server-sent events into complete events, so that a
+// truncated event is never forwarded and another upstream can continue the
+// stream after the last complete event.
 #ifndef MEDLARWALK_EVENT_STREAM_H_
 #define MEDLARWALK_EVENT_STREAM_H_
 
@@ -14,7 +14,7 @@
 
 namespace medlarwalk {
 
-// The value of the event's "id" field, if it is a number.
+// Returns the value of the event's "id" field, if it is a number.
 inline std::optional<int64_t> EventId(absl::string_view event) {
   while (!event.empty()) {
     size_t eol = event.find('\n');
@@ -30,12 +30,12 @@
   return std::nullopt;
 }
 
-// Collects bytes and hands out whole events, each with the blank line that
-// ends it. Thread safety: none needed; one per stream.
+// Buffers bytes and passes on complete events, each with the blank line that
+// ends it. Thread safety: not thread safe; use one instance per stream.
 class EventSplitter {
  public:
-  // Calls `f` for each event that `data` completes. `f` returns false to stop
-  // there; Feed then returns false.
+  // Calls `f` for each event that `data` completes. When `f` returns false,
+  // Feed stops after that event and returns false.
   bool Feed(absl::string_view data,
             absl::FunctionRef<bool(absl::string_view)> f) {
     buf_.append(data.data(), data.size());
@@ -52,7 +52,7 @@
     buf_.erase(0, at);
     return go;
   }
-  // Bytes of an event that is not whole.
+  // Returns the number of buffered bytes that are not yet a complete event.
   size_t pending() const { return buf_.size(); }
   void Reset() { buf_.clear(); }
 
--- a/src/h2.cc
+++ b/src/h2.cc
@@ -18,17 +18,17 @@
 
 namespace {
 
-// After a connection fails, no new streams go to that peer for this long, so
-// a dead agent is not hammered with retries that fail at once.
+// Delay before a new connection attempt after a connection has failed, so that
+// a dead agent does not get retries that fail immediately.
 constexpr auto kReconnectBackoff = std::chrono::milliseconds(200);
 
-// A host that is there answers within a round trip; a lost first packet is
-// sent again sooner by a new connection than by the kernel's second. Where that
-// ends in nothing the limit is doubled: behind a link at which packets queue,
-// the host's own perhaps, a round trip may be longer, and attempts that are
-// given up sooner each time lengthen the queue and never end well.
+// Time limits of a connection attempt: initial and largest. A reachable host
+// answers within a round trip, and a new connection resends a lost first packet
+// sooner than the kernel retransmits it. The limit doubles after each failure:
+// a round trip takes longer over a link where packets queue, and attempts that
+// always end before it lengthen the queue and never succeed.
 constexpr auto kConnectTimeout = std::chrono::milliseconds(300);
-constexpr auto kMostConnectTimeout = std::chrono::milliseconds(1200);
+constexpr auto kMaxConnectTimeout = std::chrono::milliseconds(1200);
 
 }  // namespace
 
@@ -41,7 +41,7 @@
   if (closed_ || started_) return;
   started_ = true;
   finished_ = true;
-  out_ = std::move(body);
+  unsent_body_ = std::move(body);
   connection_->SubmitAnswer(*this, status, headers);
 }
 
@@ -53,7 +53,7 @@
 
 void H2Stream::Write(absl::string_view data) {
   if (closed_ || !started_ || finished_) return;
-  out_.Append(data);
+  unsent_body_.Append(data);
   connection_->ResumeAnswer(*this);
 }
 
@@ -73,7 +73,7 @@
     : loop_(loop),
       handler_(std::move(handler)),
       acceptor_(
-          loop, [this](int fd) { Accepted(fd); }, kLinkPriority) {}
+          loop, [this](int fd) { OnAccepted(fd); }, kLinkPriority) {}
 
 H2Server::~H2Server() {
   acceptor_.Stop();
@@ -86,7 +86,7 @@
 
 void H2Server::StopAccepting() {
   acceptor_.Stop();
-  for (auto& [p, c] : connections_) c->GoAway();
+  for (auto& [p, c] : connections_) c->SendGoAway();
 }
 
 int H2Server::open_streams() const {
@@ -101,7 +101,7 @@
   return n;
 }
 
-void H2Server::Accepted(int fd) {
+void H2Server::OnAccepted(int fd) {
   PrepareConnection(fd);
   auto c = std::make_unique<H2Connection>(loop_, fd, this, nullptr, false);
   H2Connection* p = c.get();
@@ -109,7 +109,7 @@
   p->Flush();
 }
 
-void H2Server::Forget(H2Connection* c) { connections_.erase(c); }
+void H2Server::RemoveConnection(H2Connection* c) { connections_.erase(c); }
 
 H2Client::H2Client(struct ev_loop* loop, const Clock& clock,
                    std::string address, int port, Millis ping_interval,
@@ -118,8 +118,8 @@
       clock_(clock),
       address_(std::move(address)),
       port_(port),
-      first_connect_limit_(std::min<Millis>(ping_timeout, kConnectTimeout)),
-      connect_limit_(first_connect_limit_),
+      initial_connect_timeout_(std::min<Millis>(ping_timeout, kConnectTimeout)),
+      connect_timeout_(initial_connect_timeout_),
       ping_interval_(ping_interval),
       ping_timeout_(ping_timeout) {
   double tick =
@@ -135,7 +135,7 @@
   ev_timer_stop(loop_, &ping_timer_);
   if (connection_) {
     auto c = std::move(connection_);
-    c->FailAll(absl::CancelledError("client closed"));
+    c->FailAllCalls(absl::CancelledError("client closed"));
   }
 }
 
@@ -166,9 +166,9 @@
 
 int32_t H2Client::Submit(H2Call call) {
   if (connection_ && !connection_->request_allowed()) {
-    // The peer sent GOAWAY: streams already open finish on the old
-    // connection's own terms; new ones go on a fresh connection.
-    retiring_.push_back(std::move(connection_));
+    // The peer sent GOAWAY: open streams finish on the old connection, and new
+    // streams use a new one.
+    draining_connections_.push_back(std::move(connection_));
   }
   if (!connection_ && !Connect()) {
     if (call.on_close) {
@@ -197,21 +197,21 @@
 void H2Client::Cancel(int32_t handle) {
   auto it = streams_.find(handle);
   if (it == streams_.end()) return;
-  Placed at = it->second;
+  StreamLocation at = it->second;
   streams_.erase(it);
   at.connection->Cancel(at.id);
 }
 
-bool H2Client::Silent() const {
+bool H2Client::IsSilent() const {
   TimePoint now = clock_.Now();
   return connection_ && now - connection_->SilentSince(now) > ping_timeout_;
 }
 
 bool H2Client::healthy() const {
-  return connection_ && connection_->connected() && !Silent();
+  return connection_ && connection_->connected() && !IsSilent();
 }
 
-bool H2Client::usable() const { return !suspect_ && !Silent(); }
+bool H2Client::usable() const { return !suspect_ && !IsSilent(); }
 
 int H2Client::open_streams() const {
   return connection_ ? connection_->open_streams() : 0;
@@ -221,69 +221,72 @@
   return connection_ ? connection_->queued_bytes() : 0;
 }
 
-// Pings the connection on schedule and drops it when a ping goes unanswered
-// past the timeout: a silent connection otherwise looks open for good.
+// Sends pings on schedule and closes the connection when the peer does not
+// answer within the timeout; a silently failed connection would look open
+// forever.
 void H2Client::OnPingTimer(struct ev_loop*, ev_timer* w, int) {
   auto* self = static_cast<H2Client*>(w->data);
-  auto& r = self->retiring_;
+  auto& r = self->draining_connections_;
   r.erase(std::remove_if(r.begin(), r.end(),
                          [](const auto& c) { return c->open_streams() == 0; }),
           r.end());
   TimePoint now = self->clock_.Now();
   if (self->suspect_ && !self->connection_ &&
       now - *self->last_failure_ >= kReconnectBackoff) {
-    // Probe: a fresh connection whose first PING goes out at once.
+    // Probe the peer with a new connection that sends its first PING
+    // immediately.
     if (!self->Connect()) return;
     self->connection_->set_ping_sent_at(now - self->ping_interval_);
   }
   H2Connection* c = self->connection_.get();
   if (!c) return;
   if (!c->connected()) {
-    // A host without power or behind a cut answers nothing at all.
-    if (now - c->opened_at() > self->connect_limit_) {
-      self->connect_limit_ =
-          std::min<Millis>(2 * self->connect_limit_, kMostConnectTimeout);
-      self->DropSilent("connect timed out");
+    // A host without power or behind a network partition does not answer.
+    if (now - c->opened_at() > self->connect_timeout_) {
+      self->connect_timeout_ =
+          std::min<Millis>(2 * self->connect_timeout_, kMaxConnectTimeout);
+      self->CloseSilentConnection("connect timed out");
     }
     return;
   }
-  self->connect_limit_ = self->first_connect_limit_;
+  self->connect_timeout_ = self->initial_connect_timeout_;
   if (c->ping_outstanding()) {
-    if (self->Silent()) self->DropSilent("ping unanswered");
+    if (self->IsSilent()) self->CloseSilentConnection("ping unanswered");
     return;
   }
   if (now - c->ping_sent_at() >= self->ping_interval_) {
     c->set_ping_sent_at(now);
-    c->Ping();
+    c->SendPing();
   }
 }
 
-void H2Client::DropSilent(absl::string_view why) {
+void H2Client::CloseSilentConnection(absl::string_view why) {
   ++dead_connections_;
   last_failure_ = clock_.Now();
-  // One line for each loss, not for each probe that follows it.
+  // Log each loss once, not every failed probe after it.
   if (!suspect_) {
     LogWarn("connection_silent",
             {{"peer", absl::StrCat(address_, ":", port_)}, {"why", why}});
   }
   suspect_ = true;
   auto dead = std::move(connection_);
-  dead->FailAll(absl::UnavailableError(why));
+  dead->FailAllCalls(absl::UnavailableError(why));
 }
 
-void H2Client::Drop(H2Connection* c) {
-  for (auto it = retiring_.begin(); it != retiring_.end(); ++it) {
+void H2Client::OnConnectionLost(H2Connection* c) {
+  for (auto it = draining_connections_.begin();
+       it != draining_connections_.end(); ++it) {
     if (it->get() != c) continue;
     auto dead = std::move(*it);
-    retiring_.erase(it);
-    dead->FailAll(absl::UnavailableError("connection lost"));
+    draining_connections_.erase(it);
+    dead->FailAllCalls(absl::UnavailableError("connection lost"));
     return;
   }
   if (connection_.get() != c) return;
   last_failure_ = clock_.Now();
   suspect_ = true;
   auto dead = std::move(connection_);
-  dead->FailAll(absl::UnavailableError("connection lost"));
+  dead->FailAllCalls(absl::UnavailableError("connection lost"));
 }
 
 }  // namespace medlarwalk
--- a/src/h2.h
+++ b/src/h2.h
@@ -1,8 +1,8 @@
-// HTTP/2 streams between the system's own processes (entry to agent), with
-// nghttp2 over non-blocking sockets in the libev loop. The client side pings
-// the connection and declares it dead when no answer comes in time: a
-// connection can go silent for good while new ones work, and without the ping
-// its streams would hang until their own timeouts.
+// HTTP/2 streams between medlarwalk's own processes (entry to agent), with
+// nghttp2 over non-blocking sockets in the libev loop. The client pings the
+// connection and closes it when nothing is received in time. Otherwise the
+// streams of a connection that has failed silently would hang until their own
+// timeouts, although new connections work.
 #ifndef MEDLARWALK_H2_H_
 #define MEDLARWALK_H2_H_
 
@@ -39,8 +39,8 @@
   std::string Header(const std::string& name) const;
 };
 
-// The answer side of one HTTP/2 stream, as HttpExchange is for HTTP/1.1.
-// Thread safety: loop thread.
+// The server side of one HTTP/2 stream: sends the answer. The HTTP/1.1
+// counterpart is HttpExchange. Thread safety: loop thread only.
 class H2Stream {
  public:
   void Respond(int status, const HeaderList& headers, Payload body);
@@ -50,10 +50,12 @@
   void StartStream(int status, const HeaderList& headers);
   void Write(absl::string_view data);
   void Finish();
-  // Ends the stream with RST_STREAM: the peer sees the answer as not whole.
+  // Ends the stream with RST_STREAM, so that the peer treats the answer as
+  // incomplete.
   void Reset();
   bool closed() const { return closed_; }
-  // Called once if the stream ends (reset, connection lost) before Finish.
+  // Sets a callback that runs once if the stream ends (reset, connection lost)
+  // before Finish().
   void set_on_close(std::function<void()> f) { on_close_ = std::move(f); }
 
  private:
@@ -63,15 +65,16 @@
   bool started_ = false;
   bool finished_ = false;
   bool closed_ = false;
-  bool deferred_ = false;
-  Payload out_;
+  bool send_deferred_ = false;
+  Payload unsent_body_;
   std::function<void()> on_close_;
 };
 
 using H2Handler =
     std::function<void(const H2Request&, std::shared_ptr<H2Stream>)>;
 
-// Accepts HTTP/2 (prior knowledge, no TLS) connections. Loop thread only.
+// Accepts HTTP/2 (prior knowledge, no TLS) connections.
+// Thread safety: loop thread only.
 class H2Server {
  public:
   H2Server(struct ev_loop* loop, H2Handler handler);
@@ -81,17 +84,18 @@
 
   // Errors: Unavailable when the port cannot be bound.
   absl::Status Listen(const std::string& address, int port);
-  // Closes the listening socket and sends GOAWAY on open connections, so
-  // peers send no new streams; streams in progress finish.
+  // Closes the listening socket and sends GOAWAY on open connections, so that
+  // peers open no new streams. Streams in progress finish.
   void StopAccepting();
-  // Streams whose answer is not finished, over all connections.
+  // Returns the number of streams with an unfinished answer, over all
+  // connections.
   int open_streams() const;
-  // Bytes of answers that their askers have not taken yet.
+  // Returns the number of bytes of answers that wait to be sent.
   size_t queued_bytes() const;
 
  private:
-  void Accepted(int fd);
-  void Forget(H2Connection* c);
+  void OnAccepted(int fd);
+  void RemoveConnection(H2Connection* c);
 
   struct ev_loop* loop_;
   H2Handler handler_;
@@ -100,7 +104,7 @@
   friend class H2Connection;
 };
 
-// The answer to one HTTP/2 call, as seen by the client.
+// One HTTP/2 call, with the callbacks that receive its answer.
 struct H2Call {
   std::string method = "POST";
   std::string path;
@@ -109,13 +113,15 @@
   std::function<void(int status, const std::map<std::string, std::string>&)>
       on_response;
   std::function<void(absl::string_view)> on_data;
-  // Ok when the stream ended normally. Unavailable with never_sent when the
-  // request provably did not reach the peer (connect failed, or the peer
-  // refused the stream unprocessed); Unavailable otherwise when it may have.
+  // Called once at the end. `status` is Ok when the stream ended normally, else
+  // Unavailable. `never_sent` is true when the request provably was not
+  // processed by the peer: the connection was not established, or the peer
+  // refused the stream. It is false when the request may have been processed.
   std::function<void(absl::Status status, bool never_sent)> on_close;
 };
 
-// One HTTP/2 connection to one peer, reconnecting on demand. Loop thread only.
+// An HTTP/2 connection to one peer, re-established on demand.
+// Thread safety: loop thread only.
 class H2Client {
  public:
   H2Client(struct ev_loop* loop, const Clock& clock, std::string address,
@@ -124,55 +130,58 @@
   H2Client(const H2Client&) = delete;
   H2Client& operator=(const H2Client&) = delete;
 
-  // Opens a stream for `call`; returns its handle (0 when it failed at once,
-  // in which case on_close has already run).
+  // Opens a stream for `call` and returns its handle. Returns 0 when the call
+  // failed immediately; its on_close has then already run.
   int32_t Submit(H2Call call);
-  // Resets the stream; its on_close is not called.
+  // Resets the stream without calling its on_close.
   void Cancel(int32_t handle);
-  // Whether a connection is up and has answered its last ping in time.
+  // Returns whether a connection is established and not silent.
   bool healthy() const;
-  // Whether new streams should be sent. After a failure the peer is suspect
-  // and gets none until a probe connection answers a PING: a frozen process
-  // still has its kernel accept connections, so "connect worked" proves
-  // nothing.
+  // Returns whether new streams should be sent to the peer. After a failure the
+  // peer is suspect and gets no new streams until it answers a PING on a new
+  // connection. An established connection is not enough: the kernel accepts
+  // connections for a process that is frozen.
   bool usable() const;
-  // Streams open on the current connection.
+  // Returns the number of open streams on the current connection.
   int open_streams() const;
-  // Bytes of requests that the peer has not taken yet.
+  // Returns the number of bytes of requests that wait to be sent.
   size_t queued_bytes() const;
-  // Connections declared dead because a ping went unanswered.
+  // Returns the number of connections given up because the peer did not answer
+  // a ping or the connection was not established in time.
   int dead_connections() const { return dead_connections_; }
 
  private:
   static void OnPingTimer(struct ev_loop* loop, ev_timer* w, int revents);
-  // False when there is no socket to be had: the peer is then suspect.
+  // Starts to connect. Returns false when no socket can be created; the peer is
+  // then suspect.
   bool Connect();
-  void Drop(H2Connection* c);
-  // Whether the current connection has said nothing for too long.
-  bool Silent() const;
-  // Gives up the current connection, which answers nothing.
-  void DropSilent(absl::string_view why);
+  // Removes the closed connection `c` and fails its calls.
+  void OnConnectionLost(H2Connection* c);
+  // Returns whether the peer has been silent for longer than the ping timeout.
+  bool IsSilent() const;
+  // Closes the unresponsive current connection and fails its calls.
+  void CloseSilentConnection(absl::string_view why);
 
   struct ev_loop* loop_;
   const Clock& clock_;
   std::string address_;
   int port_;
-  // How long an attempt to connect may take, at first and now.
-  const Millis first_connect_limit_;
-  Millis connect_limit_;
+  // Time limit of a connection attempt: the initial and the current value.
+  const Millis initial_connect_timeout_;
+  Millis connect_timeout_;
   Millis ping_interval_;
   Millis ping_timeout_;
   std::unique_ptr<H2Connection> connection_;
-  // Where each open stream is: its number is its connection's own.
-  struct Placed {
+  // The connection of an open stream, and the stream's id on that connection.
+  struct StreamLocation {
     H2Connection* connection = nullptr;
     int32_t id = 0;
   };
-  std::map<int32_t, Placed> streams_;
+  std::map<int32_t, StreamLocation> streams_;
   int32_t next_handle_ = 0;
-  // Connections the peer sent GOAWAY on: no new streams, but the streams
-  // they carry run to their end (a draining agent finishes its answers).
-  std::vector<std::unique_ptr<H2Connection>> retiring_;
+  // Connections on which the peer sent GOAWAY. They get no new streams, but
+  // their open streams run to the end: a draining agent finishes its answers.
+  std::vector<std::unique_ptr<H2Connection>> draining_connections_;
   ev_timer ping_timer_{};
   int dead_connections_ = 0;
   std::optional<TimePoint> last_failure_;
--- a/src/h2_connection.h
+++ b/src/h2_connection.h
@@ -1,4 +1,4 @@
-// One TCP connection carrying an nghttp2 session, either side. Internal to
+// A TCP connection with an nghttp2 session, for server and client. Internal to
 // h2.cc.
 #ifndef MEDLARWALK_H2_CONNECTION_H_
 #define MEDLARWALK_H2_CONNECTION_H_
@@ -34,8 +34,8 @@
           name.size(), value.size(), NGHTTP2_NV_FLAG_NONE};
 }
 
-// One TCP connection carrying an nghttp2 session, either side. It owns the
-// socket and the session; streams live in maps keyed by stream id.
+// A TCP connection with an nghttp2 session. Owns the socket, the session and
+// the streams. Exactly one of `server` and `client` is set.
 class H2Connection {
  public:
   H2Connection(struct ev_loop* loop, int fd, H2Server* server, H2Client* client,
@@ -79,10 +79,11 @@
     ev_io_stop(loop_, &write_io_);
     close(fd_);
     nghttp2_session_del(session_);
-    for (auto& [id, s] : incoming_) CloseAnswer(*s.answer);
+    for (auto& [id, s] : server_streams_) CloseServerStream(*s.answer);
   }
 
-  // Client side: opens a stream. Returns its id, or 0 on failure.
+  // Client only: opens a stream for `call`. Returns the stream id, or 0 on
+  // failure.
   int32_t Submit(H2Call call) {
     std::vector<nghttp2_nv> nva;
     std::string method = ":method", path = ":path", scheme = ":scheme",
@@ -101,37 +102,38 @@
         nghttp2_submit_request(session_, nullptr, nva.data(), nva.size(),
                                has_body ? &provider : nullptr, nullptr);
     if (id < 0) return 0;
-    calls_[id] =
+    client_streams_[id] =
         ClientStream{std::move(call), std::move(body), 0, {}, false, false};
     Flush();
     return id;
   }
 
+  // Client only: resets the stream without calling its on_close.
   void Cancel(int32_t id) {
-    auto it = calls_.find(id);
-    if (it == calls_.end()) return;
-    calls_.erase(it);
+    auto it = client_streams_.find(id);
+    if (it == client_streams_.end()) return;
+    client_streams_.erase(it);
     nghttp2_submit_rst_stream(session_, NGHTTP2_FLAG_NONE, id, NGHTTP2_CANCEL);
     Flush();
   }
 
-  void Ping() {
+  void SendPing() {
     nghttp2_submit_ping(session_, NGHTTP2_FLAG_NONE, nullptr);
     ping_outstanding_ = true;
     Flush();
   }
 
-  void GoAway() {
+  void SendGoAway() {
     nghttp2_submit_goaway(session_, NGHTTP2_FLAG_NONE,
                           nghttp2_session_get_last_proc_stream_id(session_),
                           NGHTTP2_NO_ERROR, nullptr, 0);
     Flush();
   }
 
-  // Fails every client stream: the connection is gone.
-  void FailAll(const absl::Status& status) {
-    auto calls = std::move(calls_);
-    calls_.clear();
+  // Client only: ends every call with `status` after the connection is lost.
+  void FailAllCalls(const absl::Status& status) {
+    auto calls = std::move(client_streams_);
+    client_streams_.clear();
     for (auto& [id, c] : calls) {
       if (c.call.on_close) c.call.on_close(status, !connected_);
     }
@@ -141,30 +143,33 @@
     return nghttp2_session_check_request_allowed(session_) != 0;
   }
   int open_streams() const {
-    return static_cast<int>(server_ ? incoming_.size() : calls_.size());
+    return static_cast<int>(server_ ? server_streams_.size()
+                                    : client_streams_.size());
   }
-  // Bytes of bodies that wait here for the peer to take them.
+  // Returns the number of bytes that wait to be sent.
   size_t queued_bytes() const {
-    size_t n = pending_.size();
-    for (const auto& [id, c] : calls_) n += c.body->size();
-    for (const auto& [id, s] : incoming_) n += s.answer->out_.size();
+    size_t n = send_buffer_.size();
+    for (const auto& [id, c] : client_streams_) n += c.body->size();
+    for (const auto& [id, s] : server_streams_)
+      n += s.answer->unsent_body_.size();
     return n;
   }
   bool connected() const { return connected_; }
   bool ping_outstanding() const { return ping_outstanding_; }
   TimePoint ping_sent_at() const { return ping_sent_at_; }
-  // Since when a ping is out and nothing at all has come; `now` without one.
-  // The answer to a ping may stand behind much else, so any bytes count.
+  // Returns the time since which a ping is outstanding and no bytes have been
+  // received; `now` when no ping is outstanding. Any received bytes count: the
+  // answer to a ping may be queued behind a lot of other data.
   TimePoint SilentSince(TimePoint now) {
-    if (heard_) heard_at_ = now;
-    heard_ = false;
-    return ping_outstanding_ ? std::max(ping_sent_at_, heard_at_) : now;
+    if (data_received_) last_received_at_ = now;
+    data_received_ = false;
+    return ping_outstanding_ ? std::max(ping_sent_at_, last_received_at_) : now;
   }
   TimePoint opened_at() const { return opened_at_; }
   void set_opened_at(TimePoint t) { opened_at_ = t; }
   void set_ping_sent_at(TimePoint t) { ping_sent_at_ = t; }
 
-  // Answer side (server) operations, called through H2Stream.
+  // Server only: starts the answer of `s`. Called through H2Stream.
   void SubmitAnswer(H2Stream& s, int status, const HeaderList& headers) {
     std::vector<nghttp2_nv> nva;
     std::string key = ":status", value = std::to_string(status);
@@ -177,41 +182,44 @@
     Flush();
   }
 
+  // Server only: resets the stream of `s`.
   void ResetStream(H2Stream& s) {
     nghttp2_submit_rst_stream(session_, NGHTTP2_FLAG_NONE, s.id_,
                               NGHTTP2_INTERNAL_ERROR);
     Flush();
   }
 
+  // Server only: resumes sending the answer of `s` after data was added.
   void ResumeAnswer(H2Stream& s) {
-    if (s.deferred_) {
-      s.deferred_ = false;
+    if (s.send_deferred_) {
+      s.send_deferred_ = false;
       nghttp2_session_resume_data(session_, s.id_);
     }
     Flush();
   }
 
-  // Writes what nghttp2 has to send. Deferred while nghttp2 is calling us:
-  // sending from inside its callbacks is not allowed.
+  // Writes the pending output of nghttp2 to the socket. Does nothing inside a
+  // callback of nghttp2, where sending is not allowed.
   void Flush() {
     if (in_callback_ || dead_) {
-      flush_wanted_ = true;
+      flush_pending_ = true;
       return;
     }
-    flush_wanted_ = false;
+    flush_pending_ = false;
     for (;;) {
-      if (!pending_.empty()) {
-        ssize_t n = send(fd_, pending_.data(), pending_.size(), MSG_NOSIGNAL);
+      if (!send_buffer_.empty()) {
+        ssize_t n =
+            send(fd_, send_buffer_.data(), send_buffer_.size(), MSG_NOSIGNAL);
         if (n < 0) {
           if (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINPROGRESS) {
             ev_io_start(loop_, &write_io_);
             return;
           }
-          Die();
+          MarkDead();
           return;
         }
-        pending_.erase(0, static_cast<size_t>(n));
-        if (!pending_.empty()) {
+        send_buffer_.erase(0, static_cast<size_t>(n));
+        if (!send_buffer_.empty()) {
           ev_io_start(loop_, &write_io_);
           return;
         }
@@ -219,12 +227,12 @@
       const uint8_t* data;
       ssize_t n = nghttp2_session_mem_send(session_, &data);
       if (n < 0) {
-        Die();
+        MarkDead();
         return;
       }
       if (n == 0) break;
-      pending_.append(reinterpret_cast<const char*>(data),
-                      static_cast<size_t>(n));
+      send_buffer_.append(reinterpret_cast<const char*>(data),
+                          static_cast<size_t>(n));
       if (!connected_) {
         ev_io_start(loop_, &write_io_);
         return;
@@ -233,7 +241,7 @@
     ev_io_stop(loop_, &write_io_);
     if (!nghttp2_session_want_read(session_) &&
         !nghttp2_session_want_write(session_)) {
-      Die();
+      MarkDead();
     }
   }
 
@@ -243,61 +251,64 @@
     std::unique_ptr<Payload> body;
     int status;
     std::map<std::string, std::string> headers;
-    bool answered;
-    bool ended;  // The peer ended its side: the answer is complete.
+    bool response_reported;
+    bool end_stream_received;  // The peer sent END_STREAM: the answer is
+                               // complete.
   };
   struct ServerStream {
     H2Request request;
     std::shared_ptr<H2Stream> answer;
   };
 
-  static void CloseAnswer(H2Stream& s) {
+  static void CloseServerStream(H2Stream& s) {
     bool unfinished = !s.finished_;
     s.closed_ = true;
     s.connection_ = nullptr;
     if (unfinished && s.on_close_) s.on_close_();
   }
 
-  // The connection is unusable: tell the owner, which deletes it.
-  void Die() {
+  // Marks the connection as unusable and schedules its deletion by the owner.
+  void MarkDead() {
     if (dead_) return;
     dead_ = true;
     ev_io_stop(loop_, &read_io_);
     ev_io_stop(loop_, &write_io_);
     ev_feed_event(loop_, &read_io_, EV_CUSTOM);
-    // Deletion happens from OnReadable with EV_CUSTOM, outside any callback.
+    // OnReadable deletes the connection on EV_CUSTOM, outside any callback of
+    // nghttp2.
     ev_io_start(loop_, &read_io_);
   }
 
-  void Finalize() {
+  // Makes the owner delete this connection.
+  void NotifyOwner() {
     if (server_) {
-      server_->Forget(this);
+      server_->RemoveConnection(this);
     } else {
-      client_->Drop(this);
+      client_->OnConnectionLost(this);
     }
   }
 
   static void OnReadable(struct ev_loop*, ev_io* w, int revents) {
     auto* c = static_cast<H2Connection*>(w->data);
     if (c->dead_ || (revents & EV_CUSTOM)) {
-      if (c->dead_) c->Finalize();
+      if (c->dead_) c->NotifyOwner();
       return;
     }
     char buf[kH2ReadBlock];
     for (;;) {
       ssize_t n = read(c->fd_, buf, sizeof(buf));
       if (n == 0 || (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK)) {
-        c->Die();
+        c->MarkDead();
         return;
       }
       if (n < 0) break;
-      c->heard_ = true;
+      c->data_received_ = true;
       c->in_callback_ = true;
       ssize_t used = nghttp2_session_mem_recv(
           c->session_, reinterpret_cast<uint8_t*>(buf), static_cast<size_t>(n));
       c->in_callback_ = false;
       if (used < 0) {
-        c->Die();
+        c->MarkDead();
         return;
       }
     }
@@ -311,7 +322,7 @@
       socklen_t len = sizeof(err);
       getsockopt(c->fd_, SOL_SOCKET, SO_ERROR, &err, &len);
       if (err != 0) {
-        c->Die();
+        c->MarkDead();
         return;
       }
       c->connected_ = true;
@@ -327,7 +338,7 @@
       auto answer = std::make_shared<H2Stream>();
       answer->connection_ = c;
       answer->id_ = frame->hd.stream_id;
-      c->incoming_[frame->hd.stream_id] = ServerStream{{}, answer};
+      c->server_streams_[frame->hd.stream_id] = ServerStream{{}, answer};
     }
     return 0;
   }
@@ -340,8 +351,8 @@
     std::string v(reinterpret_cast<const char*>(value), valuelen);
     int32_t id = frame->hd.stream_id;
     if (c->server_) {
-      auto it = c->incoming_.find(id);
-      if (it == c->incoming_.end()) return 0;
+      auto it = c->server_streams_.find(id);
+      if (it == c->server_streams_.end()) return 0;
       if (k == ":method") {
         it->second.request.method = v;
       } else if (k == ":path") {
@@ -350,8 +361,8 @@
         it->second.request.headers[k] = v;
       }
     } else {
-      auto it = c->calls_.find(id);
-      if (it == c->calls_.end()) return 0;
+      auto it = c->client_streams_.find(id);
+      if (it == c->client_streams_.end()) return 0;
       if (k == ":status") {
         it->second.status = std::atoi(v.c_str());
       } else {
@@ -376,8 +387,8 @@
       if ((frame->hd.type == NGHTTP2_HEADERS ||
            frame->hd.type == NGHTTP2_DATA) &&
           end) {
-        auto it = c->incoming_.find(id);
-        if (it != c->incoming_.end()) {
+        auto it = c->server_streams_.find(id);
+        if (it != c->server_streams_.end()) {
           c->server_->handler_(it->second.request, it->second.answer);
         }
       }
@@ -385,12 +396,12 @@
     }
     bool headers = frame->hd.type == NGHTTP2_HEADERS;
     if (!headers && frame->hd.type != NGHTTP2_DATA) return 0;
-    auto it = c->calls_.find(id);
-    if (it == c->calls_.end()) return 0;
-    it->second.ended = frame->hd.flags & NGHTTP2_FLAG_END_STREAM;
+    auto it = c->client_streams_.find(id);
+    if (it == c->client_streams_.end()) return 0;
+    it->second.end_stream_received = frame->hd.flags & NGHTTP2_FLAG_END_STREAM;
     if (headers && frame->headers.cat == NGHTTP2_HCAT_RESPONSE &&
-        !it->second.answered) {
-      it->second.answered = true;
+        !it->second.response_reported) {
+      it->second.response_reported = true;
       if (it->second.call.on_response) {
         it->second.call.on_response(it->second.status, it->second.headers);
       }
@@ -403,8 +414,8 @@
     auto* c = static_cast<H2Connection*>(user);
     absl::string_view chunk(reinterpret_cast<const char*>(data), len);
     if (c->server_) {
-      auto it = c->incoming_.find(id);
-      if (it != c->incoming_.end()) {
+      auto it = c->server_streams_.find(id);
+      if (it != c->server_streams_.end()) {
         if (it->second.request.body.size() + len > kMaxLinkBodyBytes) {
           return NGHTTP2_ERR_CALLBACK_FAILURE;
         }
@@ -412,8 +423,8 @@
       }
       return 0;
     }
-    auto it = c->calls_.find(id);
-    if (it != c->calls_.end() && it->second.call.on_data) {
+    auto it = c->client_streams_.find(id);
+    if (it != c->client_streams_.end() && it->second.call.on_data) {
       it->second.call.on_data(chunk);
     }
     return 0;
@@ -423,21 +434,21 @@
                            void* user) {
     auto* c = static_cast<H2Connection*>(user);
     if (c->server_) {
-      auto it = c->incoming_.find(id);
-      if (it == c->incoming_.end()) return 0;
+      auto it = c->server_streams_.find(id);
+      if (it == c->server_streams_.end()) return 0;
       std::shared_ptr<H2Stream> answer = it->second.answer;
-      c->incoming_.erase(it);
-      CloseAnswer(*answer);
+      c->server_streams_.erase(it);
+      CloseServerStream(*answer);
       return 0;
     }
-    auto it = c->calls_.find(id);
-    if (it == c->calls_.end()) return 0;
+    auto it = c->client_streams_.find(id);
+    if (it == c->client_streams_.end()) return 0;
     ClientStream s = std::move(it->second);
-    c->calls_.erase(it);
+    c->client_streams_.erase(it);
     if (!s.call.on_close) return 0;
-    // A reset without an error before the peer's end says that the rest is not
-    // wanted, not that the answer is whole.
-    if (error_code == NGHTTP2_NO_ERROR && s.ended) {
+    // A reset with NO_ERROR before END_STREAM means that the peer does not need
+    // the rest of the request; the answer is still incomplete.
+    if (error_code == NGHTTP2_NO_ERROR && s.end_stream_received) {
       s.call.on_close(absl::OkStatus(), false);
     } else {
       bool refused = error_code == NGHTTP2_REFUSED_STREAM;
@@ -462,12 +473,12 @@
                                 size_t length, uint32_t* flags,
                                 nghttp2_data_source* source, void*) {
     auto* s = static_cast<H2Stream*>(source->ptr);
-    size_t n = s->out_.Take(buf, length);
-    if (s->out_.empty()) {
+    size_t n = s->unsent_body_.Take(buf, length);
+    if (s->unsent_body_.empty()) {
       if (s->finished_) {
         *flags |= NGHTTP2_DATA_FLAG_EOF;
       } else if (n == 0) {
-        s->deferred_ = true;
+        s->send_deferred_ = true;
         return NGHTTP2_ERR_DEFERRED;
       }
     }
@@ -484,15 +495,16 @@
   bool connected_;
   bool dead_ = false;
   bool in_callback_ = false;
-  bool flush_wanted_ = false;
+  bool flush_pending_ = false;
   bool ping_outstanding_ = false;
-  bool heard_ = false;  // Bytes have come since SilentSince was asked.
-  TimePoint heard_at_{};
+  bool data_received_ =
+      false;  // Bytes were received since the last SilentSince().
+  TimePoint last_received_at_{};
   TimePoint ping_sent_at_{};
   TimePoint opened_at_{};
-  std::string pending_;
-  std::map<int32_t, ClientStream> calls_;
-  std::map<int32_t, ServerStream> incoming_;
+  std::string send_buffer_;
+  std::map<int32_t, ClientStream> client_streams_;
+  std::map<int32_t, ServerStream> server_streams_;
 };
 
 }  // namespace medlarwalk
--- a/src/http1.cc
+++ b/src/http1.cc
@@ -12,7 +12,7 @@
 namespace medlarwalk {
 namespace {
 
-constexpr int kHttp11 = 11;  // As Beast writes versions.
+constexpr int kHttp11 = 11;  // HTTP/1.1 in the version numbers of Beast.
 
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
@@ -20,7 +20,7 @@
 
 absl::string_view View(beast::string_view s) { return {s.data(), s.size()}; }
 
-// Beast's parser, handing what it reads to a MessageSink.
+// Passes the parts of a message parsed by Beast to a MessageSink.
 template <bool kRequest>
 class BeastParser : public http::basic_parser<kRequest> {
  public:
@@ -41,7 +41,7 @@
   }
   void on_field_impl(http::field, beast::string_view name,
                      beast::string_view value, error_code&) override {
-    if (head_done_) return;  // Trailers are not passed on.
+    if (head_done_) return;  // Trailers are not forwarded.
     head_.headers.emplace_back(std::string(View(name)),
                                std::string(View(value)));
   }
@@ -119,7 +119,7 @@
   bool started = false;
 
   template <typename F>
-  auto With(F f) {
+  auto Visit(F f) {
     return request ? f(*request) : f(*answer);
   }
 };
@@ -130,19 +130,19 @@
       header_limit_(header_limit),
       body_limit_(body_limit),
       sink_(std::move(sink)) {
-  Make();
+  CreateParser();
 }
 
 Http1Parser::~Http1Parser() = default;
 
-void Http1Parser::Make() {
+void Http1Parser::CreateParser() {
   impl_ = std::make_unique<Impl>();
   if (kind_ == Kind::kRequest) {
     impl_->request.emplace(&sink_);
   } else {
     impl_->answer.emplace(&sink_);
   }
-  impl_->With([this](auto& p) {
+  impl_->Visit([this](auto& p) {
     p.eager(true);
     p.header_limit(header_limit_);
     p.body_limit(body_limit_);
@@ -154,10 +154,10 @@
   impl_->started = true;
   error_code ec;
   size_t taken = 0;
-  // put() may stop early after the head, so go on until nothing moves.
+  // put() may stop after the head, so repeat until it consumes nothing more.
   while (taken < buf->size() && !done()) {
     ec = {};
-    size_t n = impl_->With([&](auto& p) {
+    size_t n = impl_->Visit([&](auto& p) {
       return p.put(
           boost::asio::const_buffer(buf->data() + taken, buf->size() - taken),
           ec);
@@ -174,32 +174,32 @@
   if (done()) return absl::OkStatus();
   if (!impl_->started) return absl::InvalidArgumentError("closed");
   error_code ec;
-  impl_->With([&](auto& p) { p.put_eof(ec); });
+  impl_->Visit([&](auto& p) { p.put_eof(ec); });
   return ec ? FromBeast(ec) : absl::OkStatus();
 }
 
 bool Http1Parser::started() const { return impl_->started; }
 
 bool Http1Parser::head_done() const {
-  return impl_->With([](auto& p) { return p.is_header_done(); });
+  return impl_->Visit([](auto& p) { return p.is_header_done(); });
 }
 
 bool Http1Parser::done() const {
-  return impl_->With([](auto& p) { return p.is_done(); });
+  return impl_->Visit([](auto& p) { return p.is_done(); });
 }
 
 bool Http1Parser::ends_with_connection() const {
-  return impl_->With([](auto& p) { return p.need_eof(); });
+  return impl_->Visit([](auto& p) { return p.need_eof(); });
 }
 
 EndKnownBy Http1Parser::end_known_by() const {
-  return impl_->With([](auto& p) {
+  return impl_->Visit([](auto& p) {
     if (p.chunked()) return EndKnownBy::kLastChunk;
     return p.need_eof() ? EndKnownBy::kClose : EndKnownBy::kLength;
   });
 }
 
-void Http1Parser::Reset() { Make(); }
+void Http1Parser::Reset() { CreateParser(); }
 
 void Http1Parser::ExpectNoBody() {
   if (impl_->answer) impl_->answer->skip(true);
--- a/src/http1.h
+++ b/src/http1.h
@@ -1,8 +1,9 @@
-// HTTP/1.1 message parsing with Boost.Beast's incremental parser, and the
-// encoding of message heads. Used where the process must own the socket: to
-// notice a caller that leaves while its answer is being prepared, to skip an
-// answer that belongs to another request on a kept connection, and to know
-// whether a request can have reached its upstream.
+// HTTP/1.1 message parsing with Boost.Beast's incremental parser, and helpers
+// to write message heads. Used where the process must own the socket, in order
+// to
+// - detect that a caller disconnects while its answer is being prepared,
+// - skip an answer to another request on a persistent connection, and
+// - know whether a request can have reached its upstream.
 #ifndef MEDLARWALK_HTTP1_H_
 #define MEDLARWALK_HTTP1_H_
 
@@ -21,35 +22,37 @@
 // The start line and header fields of one message.
 struct MessageHead {
   std::string method;  // Requests.
-  std::string target;  // Requests: path and query, unchanged.
+  std::string target;  // Requests: path and query, unmodified.
   int status = 0;      // Answers.
   std::string reason;  // Answers.
   HeaderList headers;
   bool keep_alive = false;
-  bool reads_chunks = true;  // Requests: the sender is no HTTP/1.0 one.
+  bool reads_chunks = true;  // Requests: false for an HTTP/1.0 sender.
   std::optional<uint64_t> content_length;
 
-  // The first value of header `name` (any case), or nullptr.
+  // Returns the first value of header `name` (case-insensitive), or nullptr.
   const std::string* Find(absl::string_view name) const;
-  // The same without space around it, "" if there is none.
+  // Returns the first value of header `name` (case-insensitive) without
+  // surrounding whitespace, or "" if the header is absent.
   std::string Value(absl::string_view name) const;
-  // How many headers are called `name` (any case).
+  // Returns the number of headers named `name` (case-insensitive).
   int Count(absl::string_view name) const;
 };
 
-// How the end of a message was known. Only the first two are said by the
-// message itself; the others rest on how its carrier ended.
+// How the end of a message was detected. With kLength and kLastChunk the
+// message itself states its end; with kClose and kStreamEnd the end of the
+// connection or stream is the only evidence.
 enum class EndKnownBy {
-  kLength,     // Its head says how long it is, or that it has no body.
-  kLastChunk,  // The chunk that ends a chunked body came.
-  kClose,      // Its connection was closed in order.
-  kStreamEnd,  // Its stream of several on one connection was ended.
+  kLength,     // The head states the length, or that there is no body.
+  kLastChunk,  // The last chunk of a chunked body was received.
+  kClose,      // The peer closed the connection in an orderly way.
+  kStreamEnd,  // The peer ended the HTTP/2 stream.
 };
 
-// The name of `by`, for the log.
+// Returns the name of `by` for the log.
 absl::string_view EndName(EndKnownBy by);
 
-// Receives one message. Callbacks must not destroy the parser.
+// Callbacks that receive a parsed message. They must not destroy the parser.
 struct MessageSink {
   std::function<void(MessageHead)> on_head;
   std::function<void(absl::string_view)> on_body;
@@ -61,39 +64,40 @@
  public:
   enum class Kind { kRequest, kAnswer };
 
-  // `header_limit` and `body_limit` in bytes.
+  // `header_limit` and `body_limit` are in bytes.
   Http1Parser(Kind kind, uint32_t header_limit, uint64_t body_limit,
               MessageSink sink);
   ~Http1Parser();
   Http1Parser(const Http1Parser&) = delete;
   Http1Parser& operator=(const Http1Parser&) = delete;
 
-  // Parses `*buf` as far as it goes and erases what was taken. Stops after
-  // one whole message; bytes of a next one stay in `*buf`. Errors:
-  // InvalidArgument when the bytes are no message, ResourceExhausted when the
-  // head or the body is over its limit.
+  // Parses as much of `*buf` as possible and erases the parsed bytes. Stops at
+  // the end of one message; bytes of the next message stay in `*buf`. Errors:
+  // InvalidArgument when the bytes are not an HTTP message, ResourceExhausted
+  // when the head or the body exceeds its limit.
   absl::Status Feed(std::string* buf);
 
-  // The peer closed its side: completes an answer that ends with its
-  // connection. Errors: InvalidArgument when the message is not whole.
+  // Signals that the peer closed its side, which completes an answer that is
+  // delimited by the end of its connection. Errors: InvalidArgument when the
+  // message is incomplete.
   absl::Status FeedEnd();
 
-  // Whether any byte of the current message was taken.
+  // Returns whether any byte of the current message was parsed.
   bool started() const;
   bool head_done() const;
   bool done() const;
-  // Whether the message ends with its connection.
+  // Returns whether the message is delimited by the end of its connection.
   bool ends_with_connection() const;
-  // Precondition: done().
+  // Returns how the end of the message was detected. Precondition: done().
   EndKnownBy end_known_by() const;
-  // Begins the next message. Precondition: done() or not started().
+  // Prepares for the next message. Precondition: done() or not started().
   void Reset();
-  // The next answer has no body (it answers a HEAD request).
+  // States that the next answer has no body because it answers a HEAD request.
   void ExpectNoBody();
 
  private:
   struct Impl;
-  void Make();
+  void CreateParser();
 
   Kind kind_;
   uint32_t header_limit_;
@@ -106,10 +110,11 @@
 void AppendHeader(std::string* out, absl::string_view name,
                   absl::string_view value);
 
-// Whether `name` concerns one connection only and is not passed on.
+// Returns whether the header `name` applies to a single connection and must
+// not be forwarded.
 bool IsHopByHop(absl::string_view name);
 
-// The standard reason phrase for `status`.
+// Returns the standard reason phrase for `status`.
 absl::string_view ReasonPhrase(int status);
 
 }  // namespace medlarwalk
--- a/src/http1_client.cc
+++ b/src/http1_client.cc
@@ -10,30 +10,30 @@
 namespace {
 
 constexpr uint32_t kAnswerHeaderLimit = 64 * 1024;
-// No answer is refused for its size here; what is held in memory is bounded
-// by whoever collects it.
+// Effectively unlimited: the owner of the call limits how much of an answer it
+// keeps in memory.
 constexpr uint64_t kAnswerBodyLimit = 1ull << 40;
-// How long a kept connection is trusted while idle if the upstream does not
-// say.
-constexpr auto kDefaultKeep = std::chrono::seconds(4);
-// Taken off the time the upstream states, in whole seconds, so that a request
-// does not cross its close.
-constexpr auto kKeepMargin = Millis(800);
-
-// The idle time in a Keep-Alive header ("timeout=5, max=100"), or `otherwise`.
-Duration KeepFor(const MessageHead& head, Duration otherwise) {
+// How long an idle connection is reused if the upstream states no time.
+constexpr auto kDefaultKeepAliveTime = std::chrono::seconds(4);
+// Subtracted from the idle time that the upstream states, which is in whole
+// seconds, so that no request is sent while the upstream closes the connection.
+constexpr auto kKeepAliveMargin = Millis(800);
+
+// Returns how long an idle connection may be reused according to the Keep-Alive
+// header ("timeout=5, max=100"), or `otherwise` if it states no timeout.
+Duration KeepAliveTime(const MessageHead& head, Duration fallback) {
   const std::string* v = head.Find("Keep-Alive");
-  if (!v) return otherwise;
+  if (!v) return fallback;
   for (absl::string_view part : absl::StrSplit(*v, ',')) {
     part = absl::StripAsciiWhitespace(part);
     int seconds;
     if (absl::StartsWithIgnoreCase(part, "timeout=") &&
         absl::SimpleAtoi(part.substr(8), &seconds)) {
       Duration d = std::chrono::seconds(seconds);
-      return d > 2 * kKeepMargin ? d - kKeepMargin : d / 2;
+      return d > 2 * kKeepAliveMargin ? d - kKeepAliveMargin : d / 2;
     }
   }
-  return otherwise;
+  return fallback;
 }
 
 }  // namespace
@@ -53,15 +53,15 @@
                   [this](MessageHead head) {
                     if (head.status / 100 == 1) return;
                     if (!head.keep_alive) reusable_ = false;
-                    keep_for_ = KeepFor(head, keep_for_);
-                    ours_ = call_.on_head && call_.on_head(head);
+                    keep_alive_time_ = KeepAliveTime(head, keep_alive_time_);
+                    answers_call_ = call_.on_head && call_.on_head(head);
                   },
                   [this](absl::string_view data) {
-                    if (ours_ && call_.on_body) call_.on_body(data);
+                    if (answers_call_ && call_.on_body) call_.on_body(data);
                   },
                   [this] { message_end_ = true; },
               }),
-      keep_for_(kDefaultKeep) {}
+      keep_alive_time_(kDefaultKeepAliveTime) {}
 
 Http1Client::~Http1Client() { Close(); }
 
@@ -84,13 +84,13 @@
 void Http1Client::Start(UpstreamCall call) {
   call_ = std::move(call);
   request_ = EncodeRequest(call_.request);
-  head_method_ = call_.request.method == "HEAD";
+  is_head_request_ = call_.request.method == "HEAD";
   busy_ = true;
   sent_ = false;
-  ours_ = false;
+  answers_call_ = false;
   message_end_ = false;
   parser_.Reset();
-  if (head_method_) parser_.ExpectNoBody();
+  if (is_head_request_) parser_.ExpectNoBody();
   if (established()) OnConnected();
 }
 
@@ -103,23 +103,23 @@
 
 void Http1Client::OnData(absl::string_view data) {
   if (!busy_) {
-    // Bytes after a whole answer belong to no request: drop the connection.
+    // Bytes after a complete answer belong to no request.
     Close();
     return;
   }
-  in_.append(data.data(), data.size());
-  while (busy_ && !in_.empty()) {
+  received_.append(data.data(), data.size());
+  while (busy_ && !received_.empty()) {
     in_callback_ = true;
-    absl::Status s = parser_.Feed(&in_);
+    absl::Status s = parser_.Feed(&received_);
     in_callback_ = false;
-    if (!busy_) {  // A callback cancelled the call.
+    if (!busy_) {  // A callback has cancelled the call.
       call_ = {};
       return;
     }
     if (!s.ok()) {
       Close();
-      End(ours_ ? CallEnd::kBrokenOff : CallEnd::kNoAnswer,
-          absl::StrCat("not HTTP: ", s.message()));
+      EndCall(answers_call_ ? CallEnd::kBrokenOff : CallEnd::kNoAnswer,
+              absl::StrCat("not HTTP: ", s.message()));
       return;
     }
     if (!message_end_) return;
@@ -129,22 +129,22 @@
 
 void Http1Client::OnMessageEnd() {
   message_end_ = false;
-  if (!ours_) {
-    // An answer to an earlier request, or an interim one: go on to the next.
+  if (!answers_call_) {
+    // Skip an interim answer, or an answer to an earlier request.
     if (!reusable_) {
       Close();
-      End(CallEnd::kNoAnswer, "closed after another answer");
+      EndCall(CallEnd::kNoAnswer, "closed after another answer");
       return;
     }
     parser_.Reset();
-    if (head_method_) parser_.ExpectNoBody();
+    if (is_head_request_) parser_.ExpectNoBody();
     return;
   }
-  // Bytes beyond the answer, or a request not read to its end, make the
-  // connection useless: what follows could be taken for another answer, and
-  // the rest of the body for another request.
-  if (!in_.empty() || !reusable_ || (tcp_ && tcp_->unsent() > 0)) Close();
-  End(CallEnd::kWhole, EndName(parser_.end_known_by()));
+  // The connection cannot be reused when bytes follow the answer, which would
+  // be parsed as the next answer, or when the request is not completely sent:
+  // the upstream would parse the rest of its body as the next request.
+  if (!received_.empty() || !reusable_ || (tcp_ && tcp_->unsent() > 0)) Close();
+  EndCall(CallEnd::kWhole, EndName(parser_.end_known_by()));
 }
 
 void Http1Client::OnClosed(const absl::Status& status) {
@@ -152,21 +152,21 @@
   std::string why =
       status.ok() ? "closed by peer" : std::string(status.message());
   if (!sent_) {
-    End(CallEnd::kNotSent, why);
+    EndCall(CallEnd::kNotSent, why);
     return;
   }
-  // Only an orderly close may end an answer that has no length: a reset one
-  // is not complete.
-  if (status.ok() && ours_ && parser_.ends_with_connection() &&
+  // An answer without a length is complete only if the connection was closed in
+  // an orderly way; after a reset it is truncated.
+  if (status.ok() && answers_call_ && parser_.ends_with_connection() &&
       parser_.FeedEnd().ok()) {
     message_end_ = false;
-    End(CallEnd::kWhole, EndName(EndKnownBy::kClose));
+    EndCall(CallEnd::kWhole, EndName(EndKnownBy::kClose));
     return;
   }
-  End(ours_ ? CallEnd::kBrokenOff : CallEnd::kNoAnswer, why);
+  EndCall(answers_call_ ? CallEnd::kBrokenOff : CallEnd::kNoAnswer, why);
 }
 
-void Http1Client::End(CallEnd end, absl::string_view why) {
+void Http1Client::EndCall(CallEnd end, absl::string_view why) {
   busy_ = false;
   idle_since_ = clock_.Now();
   auto f = std::move(call_.on_end);
--- a/src/http1_client.h
+++ b/src/http1_client.h
@@ -1,4 +1,4 @@
-// One kept HTTP/1.1 connection to one upstream, one call at a time.
+// A persistent HTTP/1.1 connection to one upstream.
 #ifndef MEDLARWALK_HTTP1_CLIENT_H_
 #define MEDLARWALK_HTTP1_CLIENT_H_
 
@@ -17,14 +17,16 @@
 
 namespace medlarwalk {
 
-// `r` as it is written to a connection. Its headers say how long its body is.
+// Returns `r` in the HTTP/1.1 wire format. The headers of `r` must state the
+// length of its body.
 std::string EncodeRequest(const OutgoingRequest& r);
 
-// The connection. Held by shared_ptr. Thread safety: loop thread only.
+// A persistent HTTP/1.1 connection that carries one call at a time. Held by
+// shared_ptr. Thread safety: loop thread only.
 class Http1Client : public UpstreamLink,
                     public std::enable_shared_from_this<Http1Client> {
  public:
-  // Begins to connect to `to`.
+  // Starts to connect to `to`.
   static std::shared_ptr<Http1Client> Open(struct ev_loop* loop,
                                            const Clock& clock,
                                            const Endpoint& to,
@@ -33,7 +35,7 @@
   ~Http1Client() override;
 
   void Start(UpstreamCall call) override;
-  // Closes the connection.
+  // Ends the call without its on_end and closes the connection.
   void Cancel() override;
   void Close() override;
   bool idle() const override { return !busy_; }
@@ -45,31 +47,31 @@
   bool sent() const override { return sent_; }
   void PauseRead(bool paused) override;
   TimePoint idle_since() const override { return idle_since_; }
-  // As the upstream said, if it did.
-  Duration keep_for() const override { return keep_for_; }
+  // Returns the idle time stated by the upstream, or a default.
+  Duration keep_for() const override { return keep_alive_time_; }
 
  private:
   void OnConnected();
   void OnData(absl::string_view data);
   void OnClosed(const absl::Status& status);
   void OnMessageEnd();
-  void End(CallEnd end, absl::string_view why);
+  void EndCall(CallEnd end, absl::string_view why);
 
   const Clock& clock_;
   std::shared_ptr<TcpConnection> tcp_;
   Http1Parser parser_;
-  std::string in_;
+  std::string received_;
   UpstreamCall call_;
-  std::string request_;       // Encoded, until it is sent.
-  bool head_method_ = false;  // The answer has no body.
+  std::string request_;           // Encoded request, until it is sent.
+  bool is_head_request_ = false;  // HEAD request: its answer has no body.
   bool busy_ = false;
   bool sent_ = false;
-  bool ours_ = false;  // The message being read answers our call.
+  bool answers_call_ = false;  // The answer being read belongs to call_.
   bool message_end_ = false;
-  bool in_callback_ = false;  // call_ is in use further up the stack.
+  bool in_callback_ = false;  // A callback of call_ is on the stack.
   bool reusable_ = true;
   TimePoint idle_since_{};
-  Duration keep_for_;
+  Duration keep_alive_time_;
 };
 
 }  // namespace medlarwalk
--- a/src/http_client.cc
+++ b/src/http_client.cc
@@ -5,18 +5,19 @@
 
 namespace medlarwalk {
 
-struct HttpClient::Active {
+struct HttpClient::ActiveCall {
   HttpClient* client;
   uint64_t id;
   HttpCall call;
   CURL* easy = nullptr;
   curl_slist* headers = nullptr;
-  bool status_seen = false;
+  bool status_reported = false;
   bool cancelled = false;
-  int sends = 0;  // Times libcurl was about to send the request.
+  int send_attempts = 0;  // Attempts by libcurl to send the request.
 
-  void TellStatus() {
-    status_seen = true;
+  // Passes the status and the Content-Type to on_status.
+  void ReportStatus() {
+    status_reported = true;
     long code = 0;
     const char* type = nullptr;
     curl_easy_getinfo(easy, CURLINFO_RESPONSE_CODE, &code);
@@ -41,19 +42,19 @@
   curl_multi_setopt(multi_, CURLMOPT_TIMERDATA, this);
   InitTimer(&timer_, OnTimer, 0., 0.);
   timer_.data = this;
-  InitTimer(&reap_, OnReap, 0., 0.);
-  reap_.data = this;
+  InitTimer(&remove_cancelled_timer_, OnRemoveCancelled, 0., 0.);
+  remove_cancelled_timer_.data = this;
 }
 
 HttpClient::~HttpClient() {
   ev_timer_stop(loop_, &timer_);
-  ev_timer_stop(loop_, &reap_);
+  ev_timer_stop(loop_, &remove_cancelled_timer_);
   while (!calls_.empty()) Remove(calls_.begin()->first);
   curl_multi_cleanup(multi_);
 }
 
 uint64_t HttpClient::Start(HttpCall call) {
-  auto a = std::make_unique<Active>();
+  auto a = std::make_unique<ActiveCall>();
   a->client = this;
   a->id = next_id_++;
   a->call = std::move(call);
@@ -91,14 +92,14 @@
 void HttpClient::Cancel(uint64_t id) {
   auto it = calls_.find(id);
   if (it == calls_.end()) return;
-  // Removing an easy handle from inside its own write callback is not
-  // allowed: it is marked, and taken out from the loop. Its connection closes
-  // with it, so that the upstream drops work that nobody waits for.
+  // An easy handle must not be removed inside its own write callback, so the
+  // call is only marked here and removed from the loop. Its connection is
+  // closed with it, so that the upstream aborts the request.
   it->second->cancelled = true;
   it->second->call.on_done = nullptr;
   it->second->call.on_data = nullptr;
   it->second->call.on_status = nullptr;
-  ev_timer_start(loop_, &reap_);
+  ev_timer_start(loop_, &remove_cancelled_timer_);
 }
 
 void HttpClient::Remove(uint64_t id) {
@@ -111,28 +112,28 @@
 }
 
 int HttpClient::OnPrereq(void* userdata, char*, char*, int, int) {
-  auto* a = static_cast<Active*>(userdata);
-  ++a->sends;
-  if (a->sends > 1 && a->call.at_most_once) return CURL_PREREQFUNC_ABORT;
+  auto* a = static_cast<ActiveCall*>(userdata);
+  ++a->send_attempts;
+  if (a->send_attempts > 1 && a->call.at_most_once)
+    return CURL_PREREQFUNC_ABORT;
   return CURL_PREREQFUNC_OK;
 }
 
 size_t HttpClient::OnWrite(char* ptr, size_t size, size_t n, void* userdata) {
-  auto* a = static_cast<Active*>(userdata);
+  auto* a = static_cast<ActiveCall*>(userdata);
   if (a->cancelled) return 0;
-  if (!a->status_seen) a->TellStatus();
+  if (!a->status_reported) a->ReportStatus();
   if (a->cancelled) return 0;
   if (a->call.on_data) a->call.on_data(absl::string_view(ptr, size * n));
   return a->cancelled ? 0 : size * n;
 }
 
-// Hands finished transfers to their callers.
-void HttpClient::Drain() {
+void HttpClient::DeliverFinishedCalls() {
   CURLMsg* msg;
-  int left = 0;
-  while ((msg = curl_multi_info_read(multi_, &left))) {
+  int messages_left = 0;
+  while ((msg = curl_multi_info_read(multi_, &messages_left))) {
     if (msg->msg != CURLMSG_DONE) continue;
-    Active* a = nullptr;
+    ActiveCall* a = nullptr;
     curl_easy_getinfo(msg->easy_handle, CURLINFO_PRIVATE, &a);
     CURLcode code = msg->data.result;
     uint64_t id = a->id;
@@ -142,9 +143,9 @@
     r.http_status = static_cast<int>(http);
     if (code != CURLE_OK) {
       r.status = absl::UnavailableError(curl_easy_strerror(code));
-      r.never_sent = a->sends == 0;
-    } else if (!a->status_seen) {
-      a->TellStatus();
+      r.never_sent = a->send_attempts == 0;
+    } else if (!a->status_reported) {
+      a->ReportStatus();
     }
     auto done = std::move(a->call.on_done);
     bool cancelled = a->cancelled;
@@ -195,10 +196,10 @@
               (revents & EV_WRITE ? CURL_CSELECT_OUT : 0);
   int running = 0;
   curl_multi_socket_action(self->multi_, sock->fd, flags, &running);
-  self->Drain();
+  self->DeliverFinishedCalls();
 }
 
-void HttpClient::OnReap(struct ev_loop*, ev_timer* w, int) {
+void HttpClient::OnRemoveCancelled(struct ev_loop*, ev_timer* w, int) {
   auto* self = static_cast<HttpClient*>(w->data);
   std::vector<uint64_t> cancelled;
   for (const auto& [id, a] : self->calls_) {
@@ -211,7 +212,7 @@
   auto* self = static_cast<HttpClient*>(w->data);
   int running = 0;
   curl_multi_socket_action(self->multi_, CURL_SOCKET_TIMEOUT, 0, &running);
-  self->Drain();
+  self->DeliverFinishedCalls();
 }
 
 }  // namespace medlarwalk
--- a/src/http_server.cc
+++ b/src/http_server.cc
@@ -14,8 +14,9 @@
 namespace medlarwalk {
 namespace {
 
-// Holds the exchange for MHD's per-request pointer until MHD is done.
-struct Slot {
+// Target of MHD's per-request pointer: keeps the exchange alive until MHD has
+// completed the request.
+struct ExchangeHolder {
   std::shared_ptr<HttpExchange> exchange;
 };
 
@@ -45,12 +46,12 @@
 void HttpExchange::Respond(int status, const HeaderList& headers,
                            std::string body) {
   if (closed_ || state_ != State::kPending) return;
-  state_ = State::kWhole;
+  state_ = State::kComplete;
   status_ = status;
   headers_ = headers;
   body_ = std::move(body);
   finished_ = true;
-  Wake();
+  ResumeConnection();
 }
 
 void HttpExchange::StartStream(int status, const HeaderList& headers) {
@@ -58,19 +59,19 @@
   state_ = State::kStream;
   status_ = status;
   headers_ = headers;
-  Wake();
+  ResumeConnection();
 }
 
 void HttpExchange::Write(absl::string_view data) {
   if (closed_ || state_ != State::kStream || finished_) return;
   body_.append(data.data(), data.size());
-  Wake();
+  ResumeConnection();
 }
 
 void HttpExchange::Finish() {
   if (closed_ || finished_) return;
   finished_ = true;
-  Wake();
+  ResumeConnection();
 }
 
 void HttpExchange::Abort() {
@@ -78,16 +79,15 @@
   aborted_ = true;
   finished_ = true;
   if (state_ == State::kPending) state_ = State::kStream;
-  Wake();
+  ResumeConnection();
 }
 
-// Resumes the suspended connection so MHD asks for the answer again.
-void HttpExchange::Wake() {
+void HttpExchange::ResumeConnection() {
   if (suspended_ && connection_) {
     suspended_ = false;
     MHD_resume_connection(connection_);
   }
-  if (server_) server_->Kick();
+  if (server_) server_->ScheduleRun();
 }
 
 HttpServer::HttpServer(struct ev_loop* loop, HttpHandler handler)
@@ -124,7 +124,7 @@
   ev_io_init(&io_, OnIo, info->epoll_fd, EV_READ);
   io_.data = this;
   ev_io_start(loop_, &io_);
-  Kick();
+  ScheduleRun();
   return absl::OkStatus();
 }
 
@@ -137,21 +137,21 @@
                                 const char*, const char* upload_data,
                                 size_t* upload_data_size, void** con_cls) {
   auto* self = static_cast<HttpServer*>(cls);
-  auto* slot = static_cast<Slot*>(*con_cls);
-  if (!slot) {
-    slot = new Slot{std::make_shared<HttpExchange>()};
-    HttpExchange& ex = *slot->exchange;
+  auto* holder = static_cast<ExchangeHolder*>(*con_cls);
+  if (!holder) {
+    holder = new ExchangeHolder{std::make_shared<HttpExchange>()};
+    HttpExchange& ex = *holder->exchange;
     ex.server_ = self;
     ex.connection_ = connection;
     ex.request_.method = method;
     ex.request_.path = url;
     MHD_get_connection_values(connection, MHD_HEADER_KIND, &CollectHeader,
                               &ex.request_.headers);
-    *con_cls = slot;
+    *con_cls = holder;
     ++self->open_requests_;
     return MHD_YES;
   }
-  HttpExchange& ex = *slot->exchange;
+  HttpExchange& ex = *holder->exchange;
   if (*upload_data_size) {
     if (ex.request_.body.size() + *upload_data_size > kMaxBodyBytes) {
       return MHD_NO;
@@ -162,21 +162,21 @@
   }
   if (!ex.dispatched_) {
     ex.dispatched_ = true;
-    self->handler_(ex.request_, slot->exchange);
+    self->handler_(ex.request_, holder->exchange);
   }
   if (ex.state_ == HttpExchange::State::kPending) {
     ex.suspended_ = true;
     MHD_suspend_connection(connection);
     return MHD_YES;
   }
-  return self->Queue(ex);
+  return self->QueueAnswer(ex);
 }
 
-MHD_Result HttpServer::Queue(HttpExchange& ex) {
-  if (ex.queued_) return MHD_YES;
-  ex.queued_ = true;
+MHD_Result HttpServer::QueueAnswer(HttpExchange& ex) {
+  if (ex.answer_queued_) return MHD_YES;
+  ex.answer_queued_ = true;
   MHD_Response* response;
-  if (ex.state_ == HttpExchange::State::kWhole) {
+  if (ex.state_ == HttpExchange::State::kComplete) {
     response = MHD_create_response_from_buffer(ex.body_.size(), ex.body_.data(),
                                                MHD_RESPMEM_MUST_COPY);
   } else {
@@ -200,8 +200,8 @@
     return static_cast<ssize_t>(n);
   }
   if (ex->finished_) return MHD_CONTENT_READER_END_OF_STREAM;
-  // Nothing to send yet: park the connection until Write or Finish wakes it,
-  // so MHD does not spin calling us.
+  // Nothing to send yet. Suspend the connection until Write() or Finish()
+  // resumes it; otherwise MHD would call this function in a busy loop.
   ex->suspended_ = true;
   MHD_suspend_connection(ex->connection_);
   return 0;
@@ -210,10 +210,10 @@
 void HttpServer::OnCompleted(void* cls, MHD_Connection*, void** con_cls,
                              MHD_RequestTerminationCode) {
   auto* self = static_cast<HttpServer*>(cls);
-  auto* slot = static_cast<Slot*>(*con_cls);
-  if (!slot) return;
-  std::shared_ptr<HttpExchange> ex = std::move(slot->exchange);
-  delete slot;
+  auto* holder = static_cast<ExchangeHolder*>(*con_cls);
+  if (!holder) return;
+  std::shared_ptr<HttpExchange> ex = std::move(holder->exchange);
+  delete holder;
   *con_cls = nullptr;
   --self->open_requests_;
   bool unfinished = !ex->finished_ || !ex->body_.empty();
@@ -223,7 +223,7 @@
   if (unfinished && ex->on_close_) ex->on_close_();
 }
 
-void HttpServer::Run() {
+void HttpServer::RunDaemon() {
   MHD_run(daemon_);
   MHD_UNSIGNED_LONG_LONG ms = 0;
   ev_timer_stop(loop_, &timer_);
@@ -233,9 +233,7 @@
   }
 }
 
-// Runs MHD soon, from the loop: after a resume MHD must run once more to
-// notice it, and doing it from the loop keeps callbacks from nesting.
-void HttpServer::Kick() {
+void HttpServer::ScheduleRun() {
   if (!daemon_) return;
   ev_timer_stop(loop_, &timer_);
   ev_timer_set(&timer_, 0., 0.);
@@ -243,11 +241,11 @@
 }
 
 void HttpServer::OnIo(struct ev_loop*, ev_io* w, int) {
-  static_cast<HttpServer*>(w->data)->Run();
+  static_cast<HttpServer*>(w->data)->RunDaemon();
 }
 
 void HttpServer::OnTimer(struct ev_loop*, ev_timer* w, int) {
-  static_cast<HttpServer*>(w->data)->Run();
+  static_cast<HttpServer*>(w->data)->RunDaemon();
 }
 
 }  // namespace medlarwalk
--- a/src/http_server.h
+++ b/src/http_server.h
@@ -1,7 +1,7 @@
-// HTTP/1.1 server toward callers and scrapers: libmicrohttpd driven from the
-// process's libev loop through its epoll descriptor. Answers may be given
-// later than the request arrives (the connection is suspended meanwhile) and
-// may be streamed (chunked), as server-sent events need.
+// HTTP/1.1 server for callers and metrics scrapers: libmicrohttpd, driven by
+// the libev loop through its epoll descriptor. A handler may answer after it
+// has returned (the connection is suspended until then) and may stream its
+// answer in chunks, as server-sent events need.
 #ifndef MEDLARWALK_HTTP_SERVER_H_
 #define MEDLARWALK_HTTP_SERVER_H_
 
@@ -22,37 +22,41 @@
 
 namespace medlarwalk {
 
-// One request as received; header names are lower case.
+// One received HTTP request; header names are lower case.
 struct HttpRequest {
   std::string method;
   std::string path;
   std::map<std::string, std::string> headers;
   std::string body;
-  // The header's value, or "" when absent. `name` is lower case.
+  // Returns the value of header `name`, or "" if absent. `name` must be lower
+  // case.
   std::string Header(const std::string& name) const;
 };
 
-// The answer side of one request. Exactly one of Respond or StartStream is
-// called, once; after StartStream, Write any number of times, then Finish.
-// Calls after the caller went away are ignored. Thread safety: loop thread.
+// Sends the answer to one request. The handler calls either Respond() once, or
+// StartStream() once, Write() any number of times and then Finish(). Calls
+// after the caller has disconnected are ignored. Thread safety: loop thread
+// only.
 class HttpExchange {
  public:
   void Respond(int status, const HeaderList& headers, std::string body);
   void StartStream(int status, const HeaderList& headers);
   void Write(absl::string_view data);
   void Finish();
-  // Ends a started stream without its last chunk and closes the connection,
-  // so the caller cannot take a cut answer for a whole one.
+  // Ends a stream without its last chunk and closes the connection, so that the
+  // caller cannot mistake a truncated answer for a complete one.
   void Abort();
-  // Whether the caller's connection has ended.
+  // Returns whether the caller's connection has ended.
   bool closed() const { return closed_; }
-  // Called once if the connection ends before the answer was finished.
+  // Sets a callback that runs once if the connection ends before the answer is
+  // finished.
   void set_on_close(std::function<void()> f) { on_close_ = std::move(f); }
 
  private:
   friend class HttpServer;
-  enum class State { kPending, kWhole, kStream };
-  void Wake();
+  enum class State { kPending, kComplete, kStream };
+  // Resumes the suspended connection, so that MHD asks for the answer again.
+  void ResumeConnection();
 
   class HttpServer* server_ = nullptr;
   MHD_Connection* connection_ = nullptr;
@@ -61,7 +65,7 @@
   bool dispatched_ = false;
   bool finished_ = false;
   bool closed_ = false;
-  bool queued_ = false;
+  bool answer_queued_ = false;
   bool aborted_ = false;
   int status_ = 200;
   HeaderList headers_;
@@ -70,11 +74,11 @@
   std::function<void()> on_close_;
 };
 
-// Called once per request, when its body has arrived.
+// Called once per request, when its body is complete.
 using HttpHandler =
     std::function<void(const HttpRequest&, std::shared_ptr<HttpExchange>)>;
 
-// The server. Thread safety: loop thread only.
+// An HTTP/1.1 server. Thread safety: loop thread only.
 class HttpServer {
  public:
   HttpServer(struct ev_loop* loop, HttpHandler handler);
@@ -82,12 +86,14 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  // Starts listening on `address:port` (an IPv4 number). Errors: Unavailable
-  // when the port cannot be bound.
+  // Starts to listen on `address:port`; `address` is a numeric IPv4 address.
+  // Errors: InvalidArgument when `address` is malformed, Unavailable when the
+  // port cannot be bound.
   absl::Status Listen(const std::string& address, int port);
-  // Stops accepting new connections; open ones go on. For a planned stop.
+  // Stops accepting new connections; open connections continue. For a planned
+  // stop.
   void StopAccepting();
-  // Requests whose answer is not finished.
+  // Returns the number of requests that are not finished.
   int open_requests() const { return open_requests_; }
 
  private:
@@ -101,9 +107,12 @@
   static ssize_t ReadStream(void* cls, uint64_t pos, char* buf, size_t max);
   static void OnIo(struct ev_loop* loop, ev_io* w, int revents);
   static void OnTimer(struct ev_loop* loop, ev_timer* w, int revents);
-  MHD_Result Queue(HttpExchange& ex);
-  void Run();
-  void Kick();
+  MHD_Result QueueAnswer(HttpExchange& ex);
+  // Runs MHD once and sets the timer to MHD's next timeout.
+  void RunDaemon();
+  // Schedules RunDaemon() from the loop. MHD notices a resumed connection only
+  // when it runs once more; running it from the loop prevents nested callbacks.
+  void ScheduleRun();
 
   struct ev_loop* loop_;
   HttpHandler handler_;
--- a/src/main.cc
+++ b/src/main.cc
@@ -1,5 +1,5 @@
-// medlarwalk: one binary, one subcommand per role. This file only wires
-// settings, clock, loop and the role's object together.
+// The medlarwalk binary, with one subcommand per role. This file only connects
+// settings, clock, event loop and the object of the role.
 #include <ev.h>
 
 #include <csignal>
@@ -51,19 +51,20 @@
     "commands: entry agent fake-engine fake-service load bench check-settings "
     "default-settings platform-entry platform-control";
 
-absl::StatusOr<Settings> Load() {
+absl::StatusOr<Settings> LoadSelectedSettings() {
   std::string path = absl::GetFlag(FLAGS_settings);
   if (path.empty())
     return ParseSettings(DefaultSettingsJson(absl::GetFlag(FLAGS_base_port)));
   return LoadSettings(path);
 }
 
-int Fail(const absl::Status& s) {
+int PrintError(const absl::Status& s) {
   std::cerr << s.message() << "\n";
   return 2;
 }
 
-// The port of a base URL such as http://127.0.0.1:9001.
+// Returns the port of a base URL such as http://127.0.0.1:9001; 0 if there is
+// none.
 int PortOf(const std::string& url) {
   int port = 0;
   size_t colon = url.rfind(':');
@@ -74,18 +75,18 @@
   return port;
 }
 
-// Runs one serving role: sets up the loop, starts `role`, runs until it ends.
+// Starts `role` and runs the event loop until it ends. Returns the exit status.
 template <typename Role>
 int Serve(struct ev_loop* loop, Role& role) {
   absl::Status s = role.Start();
-  if (!s.ok()) return Fail(s);
+  if (!s.ok()) return PrintError(s);
   ev_run(loop, 0);
   return 0;
 }
 
 int RunRole(const std::string& command) {
-  absl::StatusOr<Settings> settings = Load();
-  if (!settings.ok()) return Fail(settings.status());
+  absl::StatusOr<Settings> settings = LoadSelectedSettings();
+  if (!settings.ok()) return PrintError(settings.status());
   std::string host = absl::GetFlag(FLAGS_host);
   InitLog(absl::StrCat(command, "/",
                        host.empty() ? absl::GetFlag(FLAGS_upstream) : host),
@@ -95,7 +96,7 @@
   if (command == "entry" || command == "agent") {
     const HostSettings* h = settings->FindHost(host);
     if (!h || h->role != command) {
-      return Fail(absl::InvalidArgumentError(absl::StrCat(
+      return PrintError(absl::InvalidArgumentError(absl::StrCat(
           "--host '", host, "' is not an ", command, " in the settings")));
     }
     if (command == "entry") {
@@ -111,7 +112,7 @@
   const UpstreamSettings* u =
       settings->FindUpstream(absl::GetFlag(FLAGS_upstream));
   if (!u) {
-    return Fail(absl::InvalidArgumentError(
+    return PrintError(absl::InvalidArgumentError(
         absl::StrCat("--upstream '", absl::GetFlag(FLAGS_upstream),
                      "' is not in the settings")));
   }
@@ -128,32 +129,34 @@
   return Serve(loop, service);
 }
 
-// check-settings [FILE]: the file named, or the one of --settings, or the
-// built-in default.
+// Runs `check-settings [FILE]`: checks FILE, else the file of --settings, else
+// the built-in default.
 int CheckSettings(const std::vector<char*>& args) {
   if (args.size() > 3 ||
       (args.size() == 3 && !absl::GetFlag(FLAGS_settings).empty())) {
-    return Fail(absl::InvalidArgumentError("check-settings takes one file"));
+    return PrintError(
+        absl::InvalidArgumentError("check-settings takes one file"));
   }
   absl::StatusOr<Settings> s =
-      args.size() == 3 ? LoadSettings(args[2]) : Load();
-  if (!s.ok()) return Fail(s.status());
+      args.size() == 3 ? LoadSettings(args[2]) : LoadSelectedSettings();
+  if (!s.ok()) return PrintError(s.status());
   std::cout << "settings ok: version " << s->version << "\n";
   return 0;
 }
 
 int RunLoadCommand() {
   std::ifstream in(absl::GetFlag(FLAGS_workload));
-  if (!in) return Fail(absl::NotFoundError("load: cannot read --workload"));
+  if (!in)
+    return PrintError(absl::NotFoundError("load: cannot read --workload"));
   std::stringstream buf;
   buf << in.rdbuf();
   absl::StatusOr<Workload> w = ParseWorkload(buf.str());
-  if (!w.ok()) return Fail(w.status());
-  absl::StatusOr<Settings> settings = Load();
-  if (!settings.ok()) return Fail(settings.status());
+  if (!w.ok()) return PrintError(w.status());
+  absl::StatusOr<Settings> settings = LoadSelectedSettings();
+  if (!settings.ok()) return PrintError(settings.status());
   FillFromSettings(*settings, *w);
   if (w->targets.empty())
-    return Fail(absl::InvalidArgumentError("load: no targets"));
+    return PrintError(absl::InvalidArgumentError("load: no targets"));
   LoadReport r = RunLoad(*w);
   std::cout << FormatReportTable(r);
   if (!absl::GetFlag(FLAGS_json).empty()) {
@@ -163,8 +166,8 @@
 }
 
 int Main(int argc, char** argv) {
-  // A peer that hangs up while we write would otherwise end the process with
-  // SIGPIPE: an entry whose caller left, an agent whose entry died.
+  // Without this, SIGPIPE would terminate the process when a peer disconnects
+  // during a write: an entry whose caller left, or an agent whose entry died.
   std::signal(SIGPIPE, SIG_IGN);
   absl::SetProgramUsageMessage(kUsage);
   std::vector<char*> args = absl::ParseCommandLine(argc, argv);
@@ -175,7 +178,7 @@
   std::string command = args[1];
   if (command == "check-settings") return CheckSettings(args);
   if (args.size() > 2) {
-    return Fail(absl::InvalidArgumentError(
+    return PrintError(absl::InvalidArgumentError(
         absl::StrCat(command, " takes no argument '", args[2], "'")));
   }
   if (command == "default-settings") {
--- a/src/settings.cc
+++ b/src/settings.cc
@@ -12,14 +12,14 @@
 
 using nlohmann::json;
 
-// A fault found while checking; carries the JSON path of the offending value.
+// An error in the settings, with the JSON path of the invalid value.
 struct SettingsFault {
   std::string path;
   std::string reason;
 };
 
-// Walks one JSON object, refusing keys it was not asked for. Every getter
-// checks type and range and throws SettingsFault with the path.
+// Reads one JSON object. Each getter checks type and range and throws
+// SettingsFault with the path. Finish() rejects keys that no getter has read.
 class ObjectReader {
  public:
   ObjectReader(const json& value, std::string path)
@@ -27,7 +27,7 @@
     if (!value_.is_object()) throw SettingsFault{path_, "must be an object"};
   }
 
-  // Refuses any key not read so far. Call after all getters.
+  // Rejects any key that was not read. Call after all getters.
   void Finish() const {
     for (const auto& [key, unused] : value_.items()) {
       if (!seen_.count(key)) {
@@ -98,7 +98,7 @@
     return out;
   }
 
-  // Calls `each(element, path)` for each element of the array at `key`.
+  // Calls `each(element, path)` for each element of the array with key `key`.
   template <typename F>
   void Array(const std::string& key, F each) {
     const json* v = Find(key, true);
@@ -197,7 +197,7 @@
   }
 }
 
-// Checks that every name used is declared where it must be.
+// Checks that names are unique and that every referenced name is declared.
 void CheckReferences(const Settings& s) {
   RequireUniqueNames(s.hosts, "hosts");
   RequireUniqueNames(s.classes, "classes");
@@ -236,7 +236,7 @@
 
 namespace {
 
-// The element of `items` named `name`, or nullptr.
+// Returns the element of `items` named `name`, or nullptr.
 template <typename T>
 const T* FindByName(const std::vector<T>& items, absl::string_view name) {
   for (const auto& it : items) {
--- a/src/settings.h
+++ b/src/settings.h
@@ -1,6 +1,7 @@
-// Settings: one JSON file declaring hosts, classes of work, client accounts,
-// models and upstreams. Checked whole at load; a bad file is refused with the
-// JSON path of the first fault and the reason, and nothing starts.
+// Settings: one JSON file that declares hosts, classes of work, client
+// accounts, models and upstreams. The whole file is checked when it is loaded.
+// The process does not start with an invalid file, and reports the JSON path
+// and the reason of the first error.
 #ifndef MEDLARWALK_SETTINGS_H_
 #define MEDLARWALK_SETTINGS_H_
 
@@ -15,17 +16,17 @@
 
 namespace medlarwalk {
 
-// A process of the system and where it listens.
+// A process of the system and the address it listens on.
 struct HostSettings {
   std::string name;
   std::string role;  // "entry", "agent" or "control".
   std::string data_centre;
-  std::string address;   // IP number to listen on and to be reached at.
-  int port = 0;          // Callers' HTTP (entry) or HTTP/2 (agent).
-  int metrics_port = 0;  // Prometheus /metrics; 0 serves it on `port`.
+  std::string address;   // IP address to listen on; others connect to it.
+  int port = 0;          // HTTP for callers (entry) or HTTP/2 (agent).
+  int metrics_port = 0;  // Prometheus /metrics; 0: served on `port`.
 };
 
-// A class of work: its tier and latency targets.
+// A class of work with its tier and latency targets.
 struct ClassSettings {
   std::string name;
   Tier tier = 0;
@@ -33,34 +34,34 @@
   Millis between_tokens_target{0};
 };
 
-// A client account and the classes it may use.
+// A client account and the classes of work it may use.
 struct AccountSettings {
   std::string name;
   std::vector<std::string> classes;
-  int max_in_flight = 0;  // Per entry; 0 means no limit of its own.
+  int max_in_flight = 0;  // Per entry; 0 means no limit.
 };
 
-// A back end: a model engine or a plain service, with the agent beside it.
+// An upstream: a model engine or a plain service, and the agent in front of it.
 struct UpstreamSettings {
   std::string name;
   std::string kind;   // "engine" or "service".
-  std::string agent;  // Name of the agent host beside it.
+  std::string agent;  // Host name of the agent in front of the upstream.
   std::string url;    // Base URL the agent calls, e.g. http://127.0.0.1:9001
   std::vector<std::string> models;  // Engines only.
-  bool checks_fencing = false;      // Whether it refuses stale orders itself.
-  int max_in_flight = 0;            // Requests one entry sends it at once.
+  bool checks_fencing = false;      // Whether it rejects stale orders itself.
+  int max_in_flight = 0;            // Concurrent requests from one entry.
 };
 
-// Admission and scheduling at each entry.
+// Admission and scheduling limits of each entry.
 struct EntryPolicy {
-  int queue_limit = 0;           // Requests queued at one entry, all classes.
-  Millis starvation_bound{0};    // Longest wait before a lower tier is served.
-  int retry_budget_percent = 0;  // Retries as a share of first tries.
-  Millis ping_interval{0};       // HTTP/2 PING to each agent.
-  Millis ping_timeout{0};        // Connection declared dead after this.
+  int queue_limit = 0;           // Queued requests per entry, over all classes.
+  Millis starvation_bound{0};    // Longest wait of a lower tier.
+  int retry_budget_percent = 0;  // Retries as a share of first attempts.
+  Millis ping_interval{0};       // Interval of HTTP/2 PINGs to each agent.
+  Millis ping_timeout{0};        // Connection is closed after this silence.
 };
 
-// The whole settings file.
+// The content of a settings file.
 struct Settings {
   int64_t version = 0;
   std::vector<HostSettings> hosts;
@@ -70,24 +71,27 @@
   std::vector<UpstreamSettings> upstreams;
   EntryPolicy entry;
 
-  // Lookups by name; nullptr when absent. Thread safety: read only.
+  // Return the element with the given name; nullptr when absent. Thread safety:
+  // read only.
   const HostSettings* FindHost(absl::string_view name) const;
   const ClassSettings* FindClass(absl::string_view name) const;
   const AccountSettings* FindAccount(absl::string_view name) const;
   const UpstreamSettings* FindUpstream(absl::string_view name) const;
 };
 
-// Parses and checks `json_text`. Errors: InvalidArgument naming the JSON path
-// (e.g. `$.classes[2].tier`) and the reason: not JSON, unknown key, wrong
+// Parses and checks `json_text`. Errors: InvalidArgument with the JSON path
+// (e.g.
+// `$.classes[2].tier`) and the reason: not JSON, missing or unknown key, wrong
 // type, number out of range, duplicate name or dangling reference.
 absl::StatusOr<Settings> ParseSettings(absl::string_view json_text);
 
-// Reads the file at `path` and parses it. Errors: NotFound when unreadable,
-// else as ParseSettings.
+// Reads and parses the file at `path`. Errors: NotFound when the file cannot be
+// read, else as ParseSettings().
 absl::StatusOr<Settings> LoadSettings(const std::string& path);
 
-// The built-in default: one control host, two entries, three agents each
-// beside a fake engine, one fake service, all on 127.0.0.1 from `base_port`.
+// Returns the built-in default settings, all on 127.0.0.1 with ports from
+// `base_port`: one control host, two entries, three fake engines and one fake
+// service, each with its own agent.
 std::string DefaultSettingsJson(int base_port);
 
 }  // namespace medlarwalk
--- a/src/tcp.cc
+++ b/src/tcp.cc
@@ -19,13 +19,13 @@
 
 constexpr size_t kReadBlock = size_t{32} * 1024;
 constexpr int kListenBacklog = 1024;
-// After a connection could not be taken in for want of descriptors.
-constexpr double kAcceptAgainSeconds = 0.1;
-// A peer that acknowledges nothing for this long is gone: without it a write
-// into a silent connection would wait for the kernel's minutes.
+// Delay before the next accept after one failed for lack of file descriptors.
+constexpr double kAcceptRetrySeconds = 0.1;
+// Time without acknowledgement after which a connection fails. With the default
+// of the kernel, a write to a silent connection would wait for minutes.
 constexpr unsigned kUserTimeoutMs = 5000;
-// What the kernel takes beyond what is under way: two of a link's reads.
-constexpr int kUnsentBytes = 64 * 1024;
+// Unsent bytes that the kernel accepts per connection: two read blocks.
+constexpr int kMaxUnsentBytes = 64 * 1024;
 
 bool ToSockaddr(const Endpoint& e, sockaddr_in* out) {
   *out = {};
@@ -46,15 +46,15 @@
   SetNonBlocking(fd);
   setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &kUserTimeoutMs,
              sizeof(kUserTimeoutMs));
-  setsockopt(fd, IPPROTO_TCP, TCP_NOTSENT_LOWAT, &kUnsentBytes,
-             sizeof(kUnsentBytes));
+  setsockopt(fd, IPPROTO_TCP, TCP_NOTSENT_LOWAT, &kMaxUnsentBytes,
+             sizeof(kMaxUnsentBytes));
 }
 
 std::shared_ptr<TcpConnection> TcpConnection::Accepted(struct ev_loop* loop,
                                                        int fd) {
   PrepareConnection(fd);
   auto c = std::make_shared<TcpConnection>(loop, fd, false);
-  c->UpdateIo();
+  c->UpdateWatchedEvents();
   return c;
 }
 
@@ -65,19 +65,20 @@
   if (fd >= 0) PrepareConnection(fd);
   auto c = std::make_shared<TcpConnection>(loop, fd, true);
   sockaddr_in addr;
-  bool named = fd >= 0 && ToSockaddr(to, &addr);
-  bool ok = named && (connect(fd, reinterpret_cast<sockaddr*>(&addr),
-                              sizeof(addr)) == 0 ||
-                      errno == EINPROGRESS);
-  c->refused_ = named && !ok && errno == ECONNREFUSED;
-  // An immediate failure is told through the timer, so that the caller has
+  bool address_valid = fd >= 0 && ToSockaddr(to, &addr);
+  bool ok = address_valid && (connect(fd, reinterpret_cast<sockaddr*>(&addr),
+                                      sizeof(addr)) == 0 ||
+                              errno == EINPROGRESS);
+  c->refused_ = address_valid && !ok && errno == ECONNREFUSED;
+  // An immediate failure is reported through the timer, so that the caller has
   // set its events by then.
-  // The loop's time is that of the turn's beginning: late in a long turn the
-  // limit would be over before the loop looks at the socket again.
+  // The loop's clock shows the start of the current iteration. Without the
+  // update, a timer set late in a long iteration would expire before the loop
+  // polls the socket again.
   ev_now_update(loop);
   ev_timer_set(&c->timer_, ok ? ToSeconds(timeout) : 0., 0.);
   ev_timer_start(loop, &c->timer_);
-  if (ok) c->UpdateIo();
+  if (ok) c->UpdateWatchedEvents();
   return c;
 }
 
@@ -92,39 +93,39 @@
 
 TcpConnection::~TcpConnection() { Close(); }
 
-void TcpConnection::UpdateIo() {
-  int want = 0;
+void TcpConnection::UpdateWatchedEvents() {
+  int wanted_events = 0;
   if (fd_ >= 0) {
     if (!connected_) {
-      want = EV_WRITE;
+      wanted_events = EV_WRITE;
     } else {
-      if (!paused_) want |= EV_READ;
-      if (unsent() > 0) want |= EV_WRITE;
+      if (!paused_) wanted_events |= EV_READ;
+      if (unsent() > 0) wanted_events |= EV_WRITE;
     }
   }
-  if (want == io_events_) return;
+  if (wanted_events == io_events_) return;
   if (io_events_) ev_io_stop(loop_, &io_);
-  io_events_ = want;
-  if (!want) return;
-  ev_io_set(&io_, fd_, want);
+  io_events_ = wanted_events;
+  if (!wanted_events) return;
+  ev_io_set(&io_, fd_, wanted_events);
   ev_io_start(loop_, &io_);
 }
 
 void TcpConnection::Write(absl::string_view data) {
-  if (fd_ < 0 || closing_) return;
+  if (fd_ < 0 || close_after_writes_) return;
   if (connected_ && unsent() == 0) {
     ssize_t n = send(fd_, data.data(), data.size(), MSG_NOSIGNAL);
     if (n > 0) data.remove_prefix(static_cast<size_t>(n));
-    // A failed send shows as an event on the socket as well; leave it to the
-    // loop, so that no callback runs inside the caller's Write.
+    // A failed send also causes an event on the socket. The loop handles it, so
+    // that no callback runs inside Write().
     if (data.empty()) return;
   }
   out_.append(data.data(), data.size());
-  UpdateIo();
+  UpdateWatchedEvents();
 }
 
 void TcpConnection::CloseAfterWrites() {
-  closing_ = true;
+  close_after_writes_ = true;
   if (unsent() == 0) Close();
 }
 
@@ -138,9 +139,10 @@
 }
 
 void TcpConnection::Reset() {
-  linger at_once{1, 0};
+  linger reset_on_close{1, 0};
   if (fd_ >= 0) {
-    setsockopt(fd_, SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once));
+    setsockopt(fd_, SOL_SOCKET, SO_LINGER, &reset_on_close,
+               sizeof(reset_on_close));
   }
   Close();
 }
@@ -148,13 +150,13 @@
 void TcpConnection::PauseRead(bool paused) {
   if (paused_ == paused) return;
   paused_ = paused;
-  UpdateIo();
+  UpdateWatchedEvents();
 }
 
 void TcpConnection::OnIo(struct ev_loop*, ev_io* w, int revents) {
   auto self = static_cast<TcpConnection*>(w->data)->shared_from_this();
-  if (revents & EV_WRITE) self->Writable();
-  if (self->fd_ >= 0 && (revents & EV_READ)) self->Readable();
+  if (revents & EV_WRITE) self->OnWritable();
+  if (self->fd_ >= 0 && (revents & EV_READ)) self->OnReadable();
 }
 
 void TcpConnection::OnTimer(struct ev_loop*, ev_timer* w, int) {
@@ -162,7 +164,7 @@
   self->Fail(absl::UnavailableError("connect timed out or failed"));
 }
 
-void TcpConnection::Readable() {
+void TcpConnection::OnReadable() {
   char buf[kReadBlock];
   ssize_t n = read(fd_, buf, sizeof(buf));
   if (n < 0) {
@@ -174,13 +176,13 @@
     Fail(absl::OkStatus());
     return;
   }
-  if (closing_) return;
-  // A copy: the callback may close the connection, which clears events_.
+  if (close_after_writes_) return;
+  // Copied because the callback may close the connection, which clears events_.
   auto f = events_.on_data;
   if (f) f(absl::string_view(buf, static_cast<size_t>(n)));
 }
 
-void TcpConnection::Writable() {
+void TcpConnection::OnWritable() {
   if (!connected_) {
     int err = 0;
     socklen_t len = sizeof(err);
@@ -209,7 +211,7 @@
   if (unsent() == 0) {
     out_.clear();
     sent_ = 0;
-    if (closing_) {
+    if (close_after_writes_) {
       Close();
       return;
     }
@@ -217,7 +219,7 @@
     if (f) f();
     if (fd_ < 0) return;
   }
-  UpdateIo();
+  UpdateWatchedEvents();
 }
 
 void TcpConnection::Fail(absl::Status status) {
@@ -234,7 +236,7 @@
 Acceptor::Acceptor(struct ev_loop* loop, std::function<void(int fd)> on_accept,
                    int priority)
     : loop_(loop), on_accept_(std::move(on_accept)), priority_(priority) {
-  InitTimer(&retry_, OnRetry, kAcceptAgainSeconds, 0.);
+  InitTimer(&retry_, OnRetry, kAcceptRetrySeconds, 0.);
   retry_.data = this;
 }
 
@@ -258,11 +260,11 @@
   ev_io_init(&io_, OnIo, fd_, EV_READ);
   ev_set_priority(&io_, priority_);
   io_.data = this;
-  Update();
+  UpdateWatcher();
   return absl::OkStatus();
 }
 
-void Acceptor::Update() {
+void Acceptor::UpdateWatcher() {
   if (fd_ < 0) return;
   if (paused_ || ev_is_active(&retry_)) {
     ev_io_stop(loop_, &io_);
@@ -291,11 +293,11 @@
 
 void Acceptor::Pause(bool paused) {
   paused_ = paused;
-  Update();
+  UpdateWatcher();
 }
 
 void Acceptor::OnRetry(struct ev_loop*, ev_timer* w, int) {
-  static_cast<Acceptor*>(w->data)->Update();
+  static_cast<Acceptor*>(w->data)->UpdateWatcher();
 }
 
 void Acceptor::OnIo(struct ev_loop* loop, ev_io* w, int) {
@@ -306,13 +308,13 @@
       self->on_accept_(fd);
       continue;
     }
-    // The caller left meanwhile, or nobody else waits.
+    // Interrupted, or the peer has already disconnected: try the next one.
     if (errno == EINTR || errno == ECONNABORTED) continue;
     if (errno == EAGAIN || errno == EWOULDBLOCK) return;
     LogWarn("accept_refused", {{"why", std::strerror(errno)}});
-    ev_timer_set(&self->retry_, kAcceptAgainSeconds, 0.);
+    ev_timer_set(&self->retry_, kAcceptRetrySeconds, 0.);
     ev_timer_start(loop, &self->retry_);
-    self->Update();
+    self->UpdateWatcher();
     return;
   }
 }
--- a/src/tcp.h
+++ b/src/tcp.h
@@ -1,5 +1,5 @@
-// Non-blocking TCP over libev: one connection, and a listener. Everything
-// runs on the loop thread.
+// Non-blocking TCP connections and listeners over libev. Thread safety: loop
+// thread only.
 #ifndef MEDLARWALK_TCP_H_
 #define MEDLARWALK_TCP_H_
 
@@ -17,32 +17,34 @@
 
 namespace medlarwalk {
 
-// Makes calls on socket `fd` return at once and its small writes leave at once.
+// Makes socket `fd` non-blocking and disables Nagle's algorithm, so that small
+// writes are sent immediately.
 void SetNonBlocking(int fd);
 
-// SetNonBlocking for a connection; besides, a peer that takes nothing any more
-// ends it within seconds, and little of what is written waits in the kernel,
-// where what is urgent could not overtake it.
+// Calls SetNonBlocking() and sets two limits for a connection. A connection
+// whose peer acknowledges nothing fails within seconds. Few unsent bytes wait
+// in the kernel, because urgent data cannot overtake data that is queued there.
 void PrepareConnection(int fd);
 
 class TcpConnection;
 
-// What a connection tells its owner. Any callback may close the connection.
+// Callbacks of a connection. Each of them may close the connection.
 struct TcpEvents {
   std::function<void()> on_connected;
   std::function<void(absl::string_view)> on_data;
-  // The peer closed its side (Ok) or the connection failed; it is closed.
+  // Called after the connection was closed: with Ok when the peer closed its
+  // side, else with the error.
   std::function<void(absl::Status)> on_closed;
-  // The write buffer has become empty.
+  // Called when the write buffer has become empty.
   std::function<void()> on_drained;
 };
 
-// One connection. Held by shared_ptr so that a callback may drop it.
+// One TCP connection. Held by shared_ptr so that a callback may release it.
 class TcpConnection : public std::enable_shared_from_this<TcpConnection> {
  public:
-  // Takes over an accepted socket.
+  // Takes ownership of an accepted socket.
   static std::shared_ptr<TcpConnection> Accepted(struct ev_loop* loop, int fd);
-  // Begins to connect. The connection fails with Unavailable if it is not
+  // Starts to connect. The connection fails with Unavailable if it is not
   // established within `timeout`.
   static std::shared_ptr<TcpConnection> Connect(struct ev_loop* loop,
                                                 const Endpoint& to,
@@ -53,37 +55,39 @@
   TcpConnection& operator=(const TcpConnection&) = delete;
 
   void set_events(TcpEvents events) { events_ = std::move(events); }
-  // Sends `data`, buffering what the socket does not take now.
+  // Sends `data`; buffers the bytes that the socket does not accept yet.
   void Write(absl::string_view data);
-  // Closes once the buffer is written out; reads nothing more.
+  // Closes the connection once all buffered bytes are sent; discards received
+  // data until then.
   void CloseAfterWrites();
-  // Closes now. No callback follows.
+  // Closes the connection immediately, without a callback.
   void Close();
-  // Closes now with a reset, so that the peer cannot take it for an orderly
-  // end. No callback follows.
+  // Closes the connection immediately with a TCP reset, so that the peer cannot
+  // mistake it for an orderly end. No callback follows.
   void Reset();
-  // Stops or resumes reading (backpressure).
+  // Pauses or resumes reading, for backpressure.
   void PauseRead(bool paused);
   bool open() const { return fd_ >= 0; }
   bool connected() const { return connected_; }
-  // The host is there and nobody listens at the port.
+  // Returns whether the peer refused the connection: its host is up, but
+  // nothing listens on the port.
   bool refused() const { return refused_; }
-  // Whether bytes have come that were not read yet.
+  // Returns whether received bytes wait in the socket.
   bool HasUnread() const;
   size_t unsent() const { return out_.size() - sent_; }
 
  private:
   static void OnIo(struct ev_loop* loop, ev_io* w, int revents);
   static void OnTimer(struct ev_loop* loop, ev_timer* w, int revents);
-  void UpdateIo();
-  void Readable();
-  void Writable();
+  void UpdateWatchedEvents();
+  void OnReadable();
+  void OnWritable();
   void Fail(absl::Status status);
 
   struct ev_loop* loop_;
   int fd_;
   bool connected_;
-  bool closing_ = false;
+  bool close_after_writes_ = false;
   bool paused_ = false;
   bool refused_ = false;
   int io_events_ = 0;
@@ -94,30 +98,31 @@
   TcpEvents events_;
 };
 
-// Takes connections in as they come. Thread safety: loop thread only.
+// Listens on a socket and accepts connections. Thread safety: loop thread only.
 class Acceptor {
  public:
-  // `priority`: of newcomers within a turn (loop_order.h).
+  // `priority` orders new connections within a loop iteration (loop_order.h).
   Acceptor(struct ev_loop* loop, std::function<void(int fd)> on_accept,
            int priority = 0);
   ~Acceptor();
   Acceptor(const Acceptor&) = delete;
   Acceptor& operator=(const Acceptor&) = delete;
 
-  // Port 0 takes any free one. Errors: Unavailable when the address cannot be
-  // bound.
+  // Starts to listen; port 0 selects any free port. Errors: Unavailable when
+  // the address cannot be bound.
   absl::Status Listen(const Endpoint& at);
   void Stop();
-  // Leaves newcomers in the listening queue, or takes them in again.
+  // Pauses or resumes accepting. While paused, new connections wait in the
+  // listen backlog.
   void Pause(bool paused);
-  // The port bound; 0 when not listening.
+  // Returns the bound port; 0 when not listening.
   int port() const;
 
  private:
   static void OnIo(struct ev_loop* loop, ev_io* w, int revents);
   static void OnRetry(struct ev_loop* loop, ev_timer* w, int revents);
-  // Listens to the socket or not, as paused_ and retry_ say.
-  void Update();
+  // Starts or stops watching the socket, according to paused_ and retry_.
+  void UpdateWatcher();
 
   struct ev_loop* loop_;
   std::function<void(int fd)> on_accept_;
@@ -125,18 +130,19 @@
   int fd_ = -1;
   bool paused_ = false;
   ev_io io_{};
-  // Runs while accept is refused for want of descriptors: the socket stays
-  // readable, and the loop would turn as fast as the host allows.
+  // Runs after accept failed for lack of file descriptors. Without this delay
+  // the socket stays readable and the loop would spin.
   ev_timer retry_{};
 };
 
-// Accepts connections as TcpConnection.
+// Accepts connections and wraps them as TcpConnection. Thread safety: loop
+// thread only.
 class TcpListener {
  public:
   TcpListener(struct ev_loop* loop,
               std::function<void(std::shared_ptr<TcpConnection>)> on_accept);
 
-  // As Acceptor's.
+  // Starts to listen, as Acceptor::Listen().
   absl::Status Listen(const Endpoint& at) { return acceptor_.Listen(at); }
   void Stop() { acceptor_.Stop(); }
   void Pause(bool paused) { acceptor_.Pause(paused); }
