--- a/fuzz/configuration.cc
+++ b/fuzz/configuration.cc
@@ -1,4 +1,5 @@
-// The operator's configuration: a clear error or a checked document.
+// Fuzz target: the operator's configuration. Decoding returns an error with a
+// message, or a valid configuration.
 #include "fuzz/fuzz.h"
 #include "platform/documents.h"
 
--- a/fuzz/fuzz.h
+++ b/fuzz/fuzz.h
@@ -1,5 +1,5 @@
-// What the fuzz targets share. Each target is one executable; what it finds
-// becomes a test beside the others.
+// Helpers of the fuzz targets. Each target is one executable. A failure that a
+// target finds becomes a regular test.
 #ifndef MEDLARWALK_FUZZ_FUZZ_H_
 #define MEDLARWALK_FUZZ_FUZZ_H_
 
@@ -10,20 +10,21 @@
 
 #include "absl/strings/string_view.h"
 
-// Ends the run with the input kept when `condition` does not hold.
-#define MEDLARWALK_EXPECT(condition)                                  \
-  do {                                                                \
-    if (!(condition)) {                                               \
-      std::fprintf(stderr, "%s:%d: not so: %s\n", __FILE__, __LINE__, \
-                   #condition);                                       \
-      std::abort();                                                   \
-    }                                                                 \
+// Aborts if `condition` is false; the fuzzer then saves the input.
+#define MEDLARWALK_EXPECT(condition)                                        \
+  do {                                                                      \
+    if (!(condition)) {                                                     \
+      std::fprintf(stderr, "%s:%d: check failed: %s\n", __FILE__, __LINE__, \
+                   #condition);                                             \
+      std::abort();                                                         \
+    }                                                                       \
   } while (false)
 
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size);
 
 namespace medlarwalk::fuzzing {
 
+// Returns the fuzz input as text.
 inline absl::string_view Text(const uint8_t* data, size_t size) {
   return {reinterpret_cast<const char*>(data), size};
 }
--- a/fuzz/headers.cc
+++ b/fuzz/headers.cc
@@ -1,4 +1,5 @@
-// The platform's headers of requests and answers: lines "Name: value".
+// Fuzz target: the platform's headers of requests and answers. The input is
+// lines of the form "Name: value".
 #include "platform/headers.h"
 
 #include <string>
--- a/fuzz/http1.cc
+++ b/fuzz/http1.cc
@@ -1,5 +1,6 @@
-// HTTP/1.1 heads and bodies: what a message is must not depend on how its
-// bytes were cut into reads. First byte: request or answer, size of the cuts.
+// Fuzz target: HTTP/1.1 messages. The parsed message does not depend on how its
+// bytes are split into reads. The first byte selects request or answer, and the
+// size of the reads.
 #include "http1.h"
 
 #include <algorithm>
@@ -14,26 +15,27 @@
 constexpr uint32_t kHeaderLimit = 8192;
 constexpr uint64_t kBodyLimit = 1 << 16;
 
-// All that parsing `bytes` in reads of `cut` bytes tells, as text.
-std::string Told(Http1Parser::Kind kind, absl::string_view bytes, size_t cut) {
-  std::string heads;
-  std::string body;
+// Returns the result of parsing `bytes` in reads of `read_size` bytes, as text.
+std::string ParseResult(Http1Parser::Kind kind, absl::string_view bytes,
+                        size_t read_size) {
+  std::string heads_text;
+  std::string body_text;
   bool complete = false;
   Http1Parser parser(
       kind, kHeaderLimit, kBodyLimit,
       {[&](const MessageHead& h) {
-         absl::StrAppend(&heads, h.method, " ", h.target, " ", h.status, " ",
-                         h.reason, " ", h.keep_alive, "\n");
+         absl::StrAppend(&heads_text, h.method, " ", h.target, " ", h.status,
+                         " ", h.reason, " ", h.keep_alive, "\n");
          for (const auto& [k, v] : h.headers) {
-           absl::StrAppend(&heads, k, ":", v, "\n");
+           absl::StrAppend(&heads_text, k, ":", v, "\n");
          }
        },
-       [&](absl::string_view d) { body.append(d.data(), d.size()); },
+       [&](absl::string_view d) { body_text.append(d.data(), d.size()); },
        [&] { complete = true; }});
   std::string buf;
   absl::Status status;
   while (!bytes.empty() && status.ok() && !parser.done()) {
-    size_t n = std::min(cut, bytes.size());
+    size_t n = std::min(read_size, bytes.size());
     buf.append(bytes.data(), n);
     bytes.remove_prefix(n);
     status = parser.Feed(&buf);
@@ -43,7 +45,7 @@
   MEDLARWALK_EXPECT(!complete || parser.done());
   if (!status.ok()) return absl::StrCat("refused ", parser.head_done());
   EndName(parser.end_known_by());
-  return absl::StrCat(heads, "\n", body, "\n", complete);
+  return absl::StrCat(heads_text, "\n", body_text, "\n", complete);
 }
 
 }  // namespace
@@ -54,9 +56,9 @@
   if (size < 1) return 0;
   auto kind =
       data[0] & 1 ? Http1Parser::Kind::kAnswer : Http1Parser::Kind::kRequest;
-  size_t cut = 1 + data[0] / 2;
+  size_t read_size = 1 + data[0] / 2;
   absl::string_view bytes = medlarwalk::fuzzing::Text(data + 1, size - 1);
-  MEDLARWALK_EXPECT(medlarwalk::Told(kind, bytes, bytes.size()) ==
-                    medlarwalk::Told(kind, bytes, cut));
+  MEDLARWALK_EXPECT(medlarwalk::ParseResult(kind, bytes, bytes.size()) ==
+                    medlarwalk::ParseResult(kind, bytes, read_size));
   return 0;
 }
--- a/fuzz/list_change.cc
+++ b/fuzz/list_change.cc
@@ -1,6 +1,6 @@
-// A change of the upstream list from another process. What decodes is the same
-// after it was encoded and decoded again; whatever is taken over leads to the
-// version that it names, and what is refused leaves the list as it was.
+// Fuzz target: a change of the upstream list received from another process. A
+// decoded change survives encoding and decoding. A change that is applied leads
+// to the version it names; a rejected change leaves the list unmodified.
 #include "control_wire.h"
 #include "fuzz/fuzz.h"
 
@@ -20,13 +20,13 @@
   u.id = "u-1";
   list.Replace({u});
   int64_t before = list.version();
-  bool taken = list.Apply(*c);
-  MEDLARWALK_EXPECT(list.version() == (taken ? c->to : before));
-  MEDLARWALK_EXPECT(taken || list.size() == 1);
-  // A list whose version is not that of its contents would differ from one
-  // that took over the same contents whole.
-  UpstreamList whole;
-  whole.Replace(list.All());
-  MEDLARWALK_EXPECT(whole.version() == list.version());
+  bool applied = list.Apply(*c);
+  MEDLARWALK_EXPECT(list.version() == (applied ? c->to : before));
+  MEDLARWALK_EXPECT(applied || list.size() == 1);
+  // The version depends on the contents only: a list that received the same
+  // contents as a full list has the same version.
+  UpstreamList full_list;
+  full_list.Replace(list.All());
+  MEDLARWALK_EXPECT(full_list.version() == list.version());
   return 0;
 }
--- a/fuzz/own_api.cc
+++ b/fuzz/own_api.cc
@@ -1,5 +1,5 @@
-// Requests on the product's own front door. First line: the target; then
-// header lines up to an empty one; then the body.
+// Fuzz target: requests to medlarwalk's own API. The input is the target in the
+// first line, then header lines up to an empty line, then the body.
 #include "own_api.h"
 
 #include <memory>
--- a/fuzz/process_settings.cc
+++ b/fuzz/process_settings.cc
@@ -1,4 +1,4 @@
-// The settings file that the platform writes.
+// Fuzz target: the settings file that the platform writes for a process.
 #include "fuzz/fuzz.h"
 #include "platform/settings.h"
 
--- a/fuzz/records.cc
+++ b/fuzz/records.cc
@@ -1,6 +1,8 @@
-// The replica's file. First byte 0: the bytes as they stand; reading a part of
-// them finds a part of the records. Else: CBOR values one after another, taken
-// for records whose checksums hold; what they leave can be stored and read.
+// Fuzz target: the replica's file. If the first byte is 0, the rest is the
+// content of the file, and reading a prefix of it finds a prefix of its
+// records. Otherwise the rest is a sequence of CBOR values, taken as records
+// with valid checksums, and the state rebuilt from them has consecutive log
+// indexes.
 #include <string>
 #include <vector>
 
@@ -11,23 +13,23 @@
 namespace medlarwalk {
 namespace {
 
-void AsStored(absl::string_view bytes) {
+void CheckFilePrefix(absl::string_view bytes) {
   size_t all = 0;
   size_t part = 0;
   std::vector<nlohmann::json> records = ReadRecords(bytes, &all);
-  std::vector<nlohmann::json> fewer =
+  std::vector<nlohmann::json> prefix_records =
       ReadRecords(bytes.substr(0, bytes.size() / 2), &part);
   MEDLARWALK_EXPECT(all <= bytes.size() && part <= all);
-  MEDLARWALK_EXPECT(fewer.size() <= records.size());
-  for (size_t i = 0; i < fewer.size(); ++i) {
-    MEDLARWALK_EXPECT(fewer[i] == records[i]);
+  MEDLARWALK_EXPECT(prefix_records.size() <= records.size());
+  for (size_t i = 0; i < prefix_records.size(); ++i) {
+    MEDLARWALK_EXPECT(prefix_records[i] == records[i]);
   }
 }
 
-void AsRecords(absl::string_view bytes) {
+void CheckStateFromRecords(absl::string_view bytes) {
   std::vector<nlohmann::json> records;
   for (size_t at = 0; at < bytes.size();) {
-    // One byte says how long the next value is.
+    // One byte holds the length of the next value.
     size_t n = static_cast<uint8_t>(bytes[at]);
     absl::StatusOr<nlohmann::json> j = FromCbor(bytes.substr(at + 1, n));
     if (j.ok()) records.push_back(*std::move(j));
@@ -46,9 +48,9 @@
   if (size < 1) return 0;
   absl::string_view bytes = medlarwalk::fuzzing::Text(data + 1, size - 1);
   if (data[0] == 0) {
-    medlarwalk::AsStored(bytes);
+    medlarwalk::CheckFilePrefix(bytes);
   } else {
-    medlarwalk::AsRecords(bytes);
+    medlarwalk::CheckStateFromRecords(bytes);
   }
   return 0;
 }
--- a/fuzz/settings.cc
+++ b/fuzz/settings.cc
@@ -1,5 +1,5 @@
-// The product's settings: a clear error, or settings that the product's own
-// front door can route by.
+// Fuzz target: the settings file. Parsing returns an error with a message, or
+// settings that the router of medlarwalk's own API can use.
 #include "settings.h"
 
 #include "fuzz/fuzz.h"
--- a/fuzz/upstream_list.cc
+++ b/fuzz/upstream_list.cc
@@ -1,4 +1,5 @@
-// A page of the list of upstreams: each one it names can be used.
+// Fuzz target: a page of the upstream list. Every upstream that decoding
+// returns is usable.
 #include "fuzz/fuzz.h"
 #include "platform/documents.h"
 
--- a/fuzz/wire.cc
+++ b/fuzz/wire.cc
@@ -1,5 +1,6 @@
-// The codec between our processes. First byte: which message. What decodes is
-// the same after it was encoded and decoded again.
+// Fuzz target: the codec of messages between medlarwalk's own processes. The
+// first byte selects the type of message. A decoded message survives encoding
+// and decoding.
 #include <string>
 
 #include "control_wire.h"
@@ -9,8 +10,8 @@
 namespace medlarwalk {
 namespace {
 
-// First bytes of usage and limit records; all others are told apart by their
-// remainder.
+// First bytes that select usage records and limit records. Any other first byte
+// selects by its remainder modulo 5.
 constexpr uint8_t kUsage = 'u';
 constexpr uint8_t kLimits = 'y';
 constexpr TimePoint kFuzzTime{std::chrono::hours(1000)};
--- a/test/h2_test.cc
+++ b/test/h2_test.cc
@@ -1,4 +1,4 @@
-// HTTP/2 between our own processes, both ends on one loop.
+// HTTP/2 links between processes: ping, cancellation and connection timeouts.
 #include "h2.h"
 
 #include <unistd.h>
@@ -12,8 +12,8 @@
 
 namespace {
 
-// Runs `loop` until `done` or `ms` have passed; returns done().
-bool Await(struct ev_loop* loop, const std::function<bool()>& done, int ms) {
+// Runs `loop` until done() or for about `ms` milliseconds; returns done().
+bool RunUntil(struct ev_loop* loop, const std::function<bool()>& done, int ms) {
   for (int i = 0; i < ms && !done(); ++i) {
     ev_run(loop, EVRUN_NOWAIT);
     usleep(1000);
@@ -21,7 +21,7 @@
   return done();
 }
 
-H2Call Get(const std::string& path, std::string* body, bool* closed) {
+H2Call GetRequest(const std::string& path, std::string* body, bool* closed) {
   H2Call c;
   c.method = "GET";
   c.path = path;
@@ -34,12 +34,11 @@
 
 TEST_GROUP(h2){};
 
-// Symptom: an answer is cut though nobody gave its request up. Sequence: a
-// peer stops as planned (GOAWAY) while stream 1 runs; another stream goes to
-// its successor on a new connection, again as number 1; the first request is
-// given up. Cause: a stream was cancelled by its number on whatever connection
-// was the newest.
-TEST(h2, CancelReachesTheConnectionOfItsStream) {
+// Guards against cancelling the wrong request. A peer sends GOAWAY while
+// stream 1 runs; the next request opens a new connection, where its stream has
+// id 1 again; then the first request is cancelled. The fault was to cancel by
+// stream id on the newest connection, which truncated the second answer.
+TEST(h2, CancelUsesTheConnectionOfTheStream) {
   struct ev_loop* loop = ev_loop_new(EVFLAG_AUTO);
   {
     BootClock clock;
@@ -54,93 +53,99 @@
     std::string second;
     bool first_closed = false;
     bool second_closed = false;
-    int32_t a = client.Submit(Get("/a", &first, &first_closed));
-    CHECK_TRUE(Await(
+    int32_t a = client.Submit(GetRequest("/a", &first, &first_closed));
+    CHECK_TRUE(RunUntil(
         loop, [&] { return held_by_old != nullptr; }, 2000));
     old_server.StopAccepting();
-    Await(
+    RunUntil(
         loop, [] { return false; }, 50);
     H2Server new_server(
         loop, [&](const H2Request&, auto s) { held_by_new = std::move(s); });
     CHECK_TRUE(new_server.Listen("127.0.0.1", port).ok());
-    client.Submit(Get("/b", &second, &second_closed));
-    CHECK_TRUE(Await(
+    client.Submit(GetRequest("/b", &second, &second_closed));
+    CHECK_TRUE(RunUntil(
         loop, [&] { return held_by_new != nullptr; }, 2000));
     client.Cancel(a);
-    CHECK_TRUE(Await(
+    CHECK_TRUE(RunUntil(
         loop, [&] { return held_by_old->closed(); }, 2000));
     held_by_new->Respond(200, {}, "whole");
-    CHECK_TRUE(Await(
+    CHECK_TRUE(RunUntil(
         loop, [&] { return second_closed; }, 2000));
     STRCMP_EQUAL("whole", second.c_str());
-    CHECK_FALSE(first_closed);  // A cancelled call hears nothing more.
+    CHECK_FALSE(first_closed);  // A cancelled call gets no callbacks.
   }
   ev_loop_destroy(loop);
 }
 
 namespace {
 
-// Two processes: each runs only when its own loop does.
-struct TwoLoops {
-  TwoLoops()
-      : ours(ev_loop_new(EVFLAG_AUTO)),
-        theirs(ev_loop_new(EVFLAG_AUTO)),
+// Event loops of two processes; the test decides when each one runs.
+struct ClientAndServerLoops {
+  ClientAndServerLoops()
+      : client_loop(ev_loop_new(EVFLAG_AUTO)),
+        server_loop(ev_loop_new(EVFLAG_AUTO)),
         port(testing::FreeBase()) {}
-  ~TwoLoops() {
-    ev_loop_destroy(ours);
-    ev_loop_destroy(theirs);
+  ~ClientAndServerLoops() {
+    ev_loop_destroy(client_loop);
+    ev_loop_destroy(server_loop);
   }
-  struct ev_loop* ours;
-  struct ev_loop* theirs;
+  struct ev_loop* client_loop;
+  struct ev_loop* server_loop;
   int port;
 };
 
-constexpr Millis kPingEvery(100);
-constexpr Millis kPingWait(300);
+constexpr Millis kPingInterval(100);
+constexpr Millis kPingTimeout(300);
 
 }  // namespace
 
-// Guards against a process that was late itself and takes its peer for silent:
-// the answer to its ping lies in the socket, unread, when it wakes and judges.
-TEST(h2, ALateProcessReadsBeforeItJudgesALink) {
-  TwoLoops l;
+// Guards against a delayed process that declares its peer silent: when it
+// checks the ping timeout, the answer is already in the socket but not yet
+// read.
+TEST(h2, DelayedProcessReadsBeforeCheckingPingTimeout) {
+  ClientAndServerLoops loops;
   BootClock clock;
-  H2Server server(
-      l.theirs, [](const H2Request&, auto s) { s->Respond(200, {}, "whole"); });
-  CHECK_TRUE(server.Listen("127.0.0.1", l.port).ok());
+  H2Server server(loops.server_loop, [](const H2Request&, auto s) {
+    s->Respond(200, {}, "whole");
+  });
+  CHECK_TRUE(server.Listen("127.0.0.1", loops.port).ok());
   {
-    H2Client client(l.ours, clock, "127.0.0.1", l.port, kPingEvery, kPingWait);
+    H2Client client(loops.client_loop, clock, "127.0.0.1", loops.port,
+                    kPingInterval, kPingTimeout);
     std::string body;
     bool closed = false;
-    client.Submit(Get("/a", &body, &closed));
-    CHECK_TRUE(Await(
-        l.ours,
+    client.Submit(GetRequest("/a", &body, &closed));
+    CHECK_TRUE(RunUntil(
+        loops.client_loop,
         [&] {
-          ev_run(l.theirs, EVRUN_NOWAIT);
+          ev_run(loops.server_loop, EVRUN_NOWAIT);
           return closed;
         },
         2000));
     for (int i = 0; i < 5; ++i) {
-      // A ping goes out, and is answered; the answer is read late.
-      Await(
-          l.ours, [] { return false; }, 150);
-      Await(
-          l.theirs, [] { return false; }, 50);
+      // The peer answers a ping, and the client reads the answer late.
+      RunUntil(
+          loops.client_loop, [] { return false; }, 150);
+      RunUntil(
+          loops.server_loop, [] { return false; }, 50);
       usleep(500'000);
-      Await(
-          l.ours, [] { return false; }, 2);
+      RunUntil(
+          loops.client_loop, [] { return false; }, 2);
       LONGS_EQUAL(0, client.dead_connections());
       CHECK_TRUE(client.usable());
     }
   }
 }
 
-// The same for a connection that was established while the process was late.
-TEST(h2, ALateProcessFindsItsConnectionEstablished) {
-  TwoLoops l;
-  TcpListener listener(l.theirs, [](std::shared_ptr<TcpConnection>) {});
-  CHECK_TRUE(listener.Listen({"127.0.0.1", l.port}).ok());
-  auto c = TcpConnection::Connect(l.ours, {"127.0.0.1", l.port}, kPingWait);
+// Guards against a delayed process that reports a connect timeout although the
+// connection was established in time.
+TEST(h2, DelayedProcessDetectsEstablishedConnection) {
+  ClientAndServerLoops loops;
+  TcpListener listener(loops.server_loop,
+                       [](std::shared_ptr<TcpConnection>) {});
+  CHECK_TRUE(listener.Listen({"127.0.0.1", loops.port}).ok());
+  auto c = TcpConnection::Connect(loops.client_loop, {"127.0.0.1", loops.port},
+                                  kPingTimeout);
   bool failed = false;
   bool connected = false;
   TcpEvents e;
@@ -148,50 +153,51 @@
   e.on_closed = [&](absl::Status) { failed = true; };
   c->set_events(std::move(e));
   usleep(500'000);
-  Await(
-      l.ours, [&] { return connected || failed; }, 100);
+  RunUntil(
+      loops.client_loop, [&] { return connected || failed; }, 100);
   CHECK_TRUE(connected);
   CHECK_FALSE(failed);
   c->Close();
 }
 
-// Guards against a time limit that is set late in a long turn and counts from
-// the turn's beginning: it is over before the loop looks at the socket again.
-TEST(h2, ATimeLimitCountsFromWhenItIsSet) {
-  TwoLoops l;
+// Guards against a timeout that is set late in a long loop iteration but counts
+// from the start of the iteration: it expires before the loop polls the socket.
+TEST(h2, TimeoutCountsFromWhenItIsSet) {
+  ClientAndServerLoops loops;
   DarkAddress dark;
-  ev_run(l.ours, EVRUN_NOWAIT);
+  ev_run(loops.client_loop, EVRUN_NOWAIT);
   usleep(500'000);
-  auto c = TcpConnection::Connect(l.ours, dark.at, kPingWait);
+  auto c = TcpConnection::Connect(loops.client_loop, dark.at, kPingTimeout);
   bool failed = false;
   TcpEvents e;
   e.on_closed = [&](absl::Status) { failed = true; };
   c->set_events(std::move(e));
-  Await(
-      l.ours, [&] { return failed; }, 50);
+  RunUntil(
+      loops.client_loop, [&] { return failed; }, 50);
   CHECK_FALSE(failed);
-  CHECK_TRUE(Await(
-      l.ours, [&] { return failed; }, 2000));
+  CHECK_TRUE(RunUntil(
+      loops.client_loop, [&] { return failed; }, 2000));
 }
 
-// Guards against attempts to connect that are all given up sooner than a round
-// trip takes while packets queue at a link: none ever ends well.
-TEST(h2, AttemptsToConnectAreGivenLongerEachTime) {
-  TwoLoops l;
+// Guards against connection attempts that are all given up before a round trip
+// completes while packets queue on a link, so that none ever succeeds.
+TEST(h2, ConnectTimeoutGrowsWithEachAttempt) {
+  ClientAndServerLoops loops;
   BootClock clock;
   DarkAddress dark;
-  H2Client client(l.ours, clock, "127.0.0.1", dark.at.port, Millis(300),
-                  Millis(900));
+  H2Client client(loops.client_loop, clock, "127.0.0.1", dark.at.port,
+                  Millis(300), Millis(900));
   std::string body;
   bool closed = false;
-  client.Submit(Get("/a", &body, &closed));
-  // The first is as short as ever: others may be there.
-  CHECK_TRUE(Await(
-      l.ours, [&] { return closed; }, 500));
+  client.Submit(GetRequest("/a", &body, &closed));
+  // The first attempt has the short limit, because other peers may be
+  // reachable.
+  CHECK_TRUE(RunUntil(
+      loops.client_loop, [&] { return closed; }, 500));
   TimePoint until = clock.Now() + Millis(5000);
   while (clock.Now() < until) {
-    Await(
-        l.ours, [] { return false; }, 20);
+    RunUntil(
+        loops.client_loop, [] { return false; }, 20);
   }
   CHECK_TRUE(client.dead_connections() <= 5);
 }
--- a/test/settings_test.cc
+++ b/test/settings_test.cc
@@ -10,10 +10,10 @@
 
 namespace {
 
-json Default() { return json::parse(DefaultSettingsJson(7000)); }
+json DefaultSettings() { return json::parse(DefaultSettingsJson(7000)); }
 
-// The error message of parsing `doc`; "" when it was accepted.
-std::string Refusal(const json& doc) {
+// Returns the error message of parsing `doc`; "" when it is accepted.
+std::string ParseErrorOf(const json& doc) {
   auto s = ParseSettings(doc.dump());
   return s.ok() ? "" : std::string(s.status().message());
 }
@@ -28,62 +28,63 @@
   CHECK_EQUAL(3, static_cast<int>(s->classes.size()));
 }
 
-// Symptom: a typo in a key ("teir") would silently leave the default.
-// Sequence: operator writes an unknown key. Cause: lenient parsing.
-TEST(settings, UnknownKeyIsRefusedWithItsPath) {
-  json d = Default();
+// Guards against lenient parsing, where a typo in a key ("teir") silently
+// leaves the default in force.
+TEST(settings, UnknownKeyIsRejectedWithItsPath) {
+  json d = DefaultSettings();
   d["classes"][1]["teir"] = 2;
-  STRCMP_EQUAL("settings: $.classes[1].teir: unknown key", Refusal(d).c_str());
+  STRCMP_EQUAL("settings: $.classes[1].teir: unknown key",
+               ParseErrorOf(d).c_str());
 }
 
-TEST(settings, WrongTypeIsRefused) {
-  json d = Default();
+TEST(settings, WrongTypeIsRejected) {
+  json d = DefaultSettings();
   d["classes"][0]["tier"] = "high";
   STRCMP_EQUAL("settings: $.classes[0].tier: must be a whole number",
-               Refusal(d).c_str());
+               ParseErrorOf(d).c_str());
 }
 
-TEST(settings, OutOfRangeIsRefused) {
-  json d = Default();
+TEST(settings, OutOfRangeIsRejected) {
+  json d = DefaultSettings();
   d["hosts"][1]["port"] = 70000;
   STRCMP_EQUAL("settings: $.hosts[1].port: must be from 1 to 65535",
-               Refusal(d).c_str());
+               ParseErrorOf(d).c_str());
 }
 
-// Symptom: requests of a class named by an account but never declared would
-// be refused at run time, far from the mistake. Cause: references unchecked.
-TEST(settings, DanglingClassReferenceIsRefused) {
-  json d = Default();
+// Guards against unchecked references: an account names a class that is not
+// declared, and its requests are only rejected at run time.
+TEST(settings, DanglingClassReferenceIsRejected) {
+  json d = DefaultSettings();
   d["accounts"][0]["classes"].push_back("race-day");
   STRCMP_EQUAL(
       "settings: $.accounts[0].classes[2]: class 'race-day' is not declared",
-      Refusal(d).c_str());
+      ParseErrorOf(d).c_str());
 }
 
-TEST(settings, DanglingModelAndAgentAreRefused) {
-  json d = Default();
+TEST(settings, DanglingModelAndAgentAreRejected) {
+  json d = DefaultSettings();
   d["upstreams"][0]["models"] = {"rating-llm"};
   STRCMP_EQUAL(
       "settings: $.upstreams[0].models[0]: model 'rating-llm' is not declared",
-      Refusal(d).c_str());
-  d = Default();
+      ParseErrorOf(d).c_str());
+  d = DefaultSettings();
   d["upstreams"][0]["agent"] = "entry-1";
   STRCMP_EQUAL(
       "settings: $.upstreams[0].agent: agent host 'entry-1' is not declared",
-      Refusal(d).c_str());
+      ParseErrorOf(d).c_str());
 }
 
-TEST(settings, DuplicateNameIsRefused) {
-  json d = Default();
+TEST(settings, DuplicateNameIsRejected) {
+  json d = DefaultSettings();
   d["classes"][2]["name"] = "gate-release";
   STRCMP_EQUAL("settings: $.classes[2].name: duplicate name 'gate-release'",
-               Refusal(d).c_str());
+               ParseErrorOf(d).c_str());
 }
 
-TEST(settings, MissingKeyAndNotJsonAreRefused) {
-  json d = Default();
+TEST(settings, MissingKeyAndNotJsonAreRejected) {
+  json d = DefaultSettings();
   d.erase("entry");
-  STRCMP_EQUAL("settings: $.entry: missing", Refusal(d).c_str());
+  STRCMP_EQUAL("settings: $.entry: missing", ParseErrorOf(d).c_str());
   auto s = ParseSettings("{ not json");
   STRCMP_EQUAL("settings: $: not valid JSON",
                std::string(s.status().message()).c_str());
