--- a/fuzz/http1.cc
+++ b/fuzz/http1.cc
@@ -41,7 +41,7 @@
     status = parser.Feed(&buf);
   }
   MEDLARWALK_EXPECT(complete == (parser.done() && status.ok()) || !status.ok());
-  if (status.ok() && !parser.done()) status = parser.FeedEnd();
+  if (status.ok() && !parser.done()) status = parser.FeedEof();
   MEDLARWALK_EXPECT(!complete || parser.done());
   if (!status.ok()) return absl::StrCat("refused ", parser.head_done());
   EndName(parser.end_known_by());
--- a/src/base/errors.cc
+++ b/src/base/errors.cc
@@ -37,7 +37,7 @@
     {500, "internal", false, false},
 }};
 
-absl::StatusCode CodeFor(ErrorKind kind) {
+absl::StatusCode StatusCodeFor(ErrorKind kind) {
   switch (kind) {
     case ErrorKind::kBadRequest:
     case ErrorKind::kKeyReused:
@@ -73,7 +73,7 @@
 }
 
 absl::Status MakeError(ErrorKind kind, absl::string_view message) {
-  absl::Status status(CodeFor(kind), message);
+  absl::Status status(StatusCodeFor(kind), message);
   status.SetPayload(kPayloadUrl, absl::Cord(AnswerFor(kind).code));
   return status;
 }
--- a/src/base/errors.h
+++ b/src/base/errors.h
@@ -20,8 +20,8 @@
   kUnknownClass,      // The class of work is not declared or not allowed.
   kUnknownModel,      // No upstream is declared for the model.
   kOverloaded,        // Rejected because the queue is full.
-  kTargetUnmeetable,  // Rejected: would wait past its class target.
-  kShed,              // Removed from the queue for a higher tier.
+  kTargetUnmeetable,  // Rejected: the wait would exceed the class target.
+  kShed,              // Removed from the queue for a higher-tier request.
   kNoUpstream,        // No available upstream serves the model.
   kNotRun,            // No upstream received it: safe to resend.
   kOutcomeUnknown,    // May have run. Safe to resend with the same key.
--- a/src/base/log.cc
+++ b/src/base/log.cc
@@ -35,7 +35,7 @@
 }
 
 // Returns whether standard output accepts a line without blocking.
-bool Writable() {
+bool IsStdoutWritable() {
   pollfd p{STDOUT_FILENO, POLLOUT, 0};
   return poll(&p, 1, 0) != 0;
 }
@@ -43,7 +43,8 @@
 // Returns whether a line may be written now. Also logs how many lines were
 // dropped since the last such report.
 bool AllowLine() {
-  if (!RateLimiter().AllowLine(BootClock().Now(), Writable())) return false;
+  if (!RateLimiter().AllowLine(BootClock().Now(), IsStdoutWritable()))
+    return false;
   if (int64_t n = RateLimiter().TakeUnreported()) {
     LOG4CXX_WARN(Logger(), FormatEvent("lines_dropped", {{"lines", n}}));
   }
--- a/src/drill.cc
+++ b/src/drill.cc
@@ -26,7 +26,7 @@
 }
 
 // Returns the integer with key `name` in `j`, or 0.
-int IntAt(const nlohmann::json& j, const char* name) {
+int IntFromKey(const nlohmann::json& j, const char* name) {
   auto it = j.find(name);
   return it != j.end() && it->is_number_integer() ? it->get<int>() : 0;
 }
@@ -40,13 +40,13 @@
 }
 
 int Drill::peer_listen_port() const {
-  return active() ? IntAt(ReadJsonObject(path_), "peer_listen_port") : 0;
+  return active() ? IntFromKey(ReadJsonObject(path_), "peer_listen_port") : 0;
 }
 
 absl::Status Drill::BeforeWrite() const {
   if (!active()) return absl::OkStatus();
   nlohmann::json j = ReadJsonObject(path_);
-  int ms = std::min(IntAt(j, "disk_ms"), kMaxDiskDelayMs);
+  int ms = std::min(IntFromKey(j, "disk_ms"), kMaxDiskDelayMs);
   if (ms > 0) usleep(static_cast<useconds_t>(ms * kMicrosPerMilli));
   auto full = j.find("disk_full");
   if (full != j.end() && *full == true) {
--- a/src/http1.cc
+++ b/src/http1.cc
@@ -18,7 +18,9 @@
 namespace http = boost::beast::http;
 using beast::error_code;
 
-absl::string_view View(beast::string_view s) { return {s.data(), s.size()}; }
+absl::string_view ToStringView(beast::string_view s) {
+  return {s.data(), s.size()};
+}
 
 // Passes the parts of a message parsed by Beast to a MessageSink.
 template <bool kRequest>
@@ -31,19 +33,19 @@
                        beast::string_view target, int version,
                        error_code&) override {
     head_.reads_chunks = version >= kHttp11;
-    head_.method = std::string(View(method));
-    head_.target = std::string(View(target));
+    head_.method = std::string(ToStringView(method));
+    head_.target = std::string(ToStringView(target));
   }
   void on_response_impl(int code, beast::string_view reason, int,
                         error_code&) override {
     head_.status = code;
-    head_.reason = std::string(View(reason));
+    head_.reason = std::string(ToStringView(reason));
   }
   void on_field_impl(http::field, beast::string_view name,
                      beast::string_view value, error_code&) override {
     if (head_done_) return;  // Trailers are not forwarded.
-    head_.headers.emplace_back(std::string(View(name)),
-                               std::string(View(value)));
+    head_.headers.emplace_back(std::string(ToStringView(name)),
+                               std::string(ToStringView(value)));
   }
   void on_header_impl(error_code&) override {
     head_done_ = true;
@@ -55,14 +57,14 @@
   void on_body_init_impl(boost::optional<std::uint64_t> const&,
                          error_code&) override {}
   std::size_t on_body_impl(beast::string_view body, error_code&) override {
-    sink_->on_body(View(body));
+    sink_->on_body(ToStringView(body));
     return body.size();
   }
   void on_chunk_header_impl(std::uint64_t, beast::string_view,
                             error_code&) override {}
   std::size_t on_chunk_body_impl(std::uint64_t, beast::string_view body,
                                  error_code&) override {
-    sink_->on_body(View(body));
+    sink_->on_body(ToStringView(body));
     return body.size();
   }
   void on_finish_impl(error_code&) override { sink_->on_complete(); }
@@ -72,7 +74,7 @@
   bool head_done_ = false;
 };
 
-absl::Status FromBeast(const error_code& ec) {
+absl::Status StatusFromBeast(const error_code& ec) {
   if (ec == http::error::body_limit || ec == http::error::header_limit) {
     return absl::ResourceExhaustedError(ec.message());
   }
@@ -166,16 +168,16 @@
     if (ec || n == 0) break;
   }
   buf->erase(0, taken);
-  if (ec && ec != http::error::need_more) return FromBeast(ec);
+  if (ec && ec != http::error::need_more) return StatusFromBeast(ec);
   return absl::OkStatus();
 }
 
-absl::Status Http1Parser::FeedEnd() {
+absl::Status Http1Parser::FeedEof() {
   if (done()) return absl::OkStatus();
   if (!impl_->started) return absl::InvalidArgumentError("closed");
   error_code ec;
   impl_->Visit([&](auto& p) { p.put_eof(ec); });
-  return ec ? FromBeast(ec) : absl::OkStatus();
+  return ec ? StatusFromBeast(ec) : absl::OkStatus();
 }
 
 bool Http1Parser::started() const { return impl_->started; }
@@ -188,7 +190,7 @@
   return impl_->Visit([](auto& p) { return p.is_done(); });
 }
 
-bool Http1Parser::ends_with_connection() const {
+bool Http1Parser::is_close_delimited() const {
   return impl_->Visit([](auto& p) { return p.need_eof(); });
 }
 
@@ -221,7 +223,7 @@
 }
 
 absl::string_view ReasonPhrase(int status) {
-  return View(http::obsolete_reason(static_cast<http::status>(status)));
+  return ToStringView(http::obsolete_reason(static_cast<http::status>(status)));
 }
 
 }  // namespace medlarwalk
--- a/src/http1.h
+++ b/src/http1.h
@@ -21,13 +21,13 @@
 
 // The start line and header fields of one message.
 struct MessageHead {
-  std::string method;  // Requests.
-  std::string target;  // Requests: path and query, unmodified.
-  int status = 0;      // Answers.
-  std::string reason;  // Answers.
+  std::string method;  // Requests only.
+  std::string target;  // Requests only: path and query, unmodified.
+  int status = 0;      // Answers only.
+  std::string reason;  // Answers only: reason phrase.
   HeaderList headers;
   bool keep_alive = false;
-  bool reads_chunks = true;  // Requests: false for an HTTP/1.0 sender.
+  bool reads_chunks = true;  // Requests only: false for an HTTP/1.0 sender.
   std::optional<uint64_t> content_length;
 
   // Returns the first value of header `name` (case-insensitive), or nullptr.
@@ -80,14 +80,14 @@
   // Signals that the peer closed its side, which completes an answer that is
   // delimited by the end of its connection. Errors: InvalidArgument when the
   // message is incomplete.
-  absl::Status FeedEnd();
+  absl::Status FeedEof();
 
   // Returns whether any byte of the current message was parsed.
   bool started() const;
   bool head_done() const;
   bool done() const;
   // Returns whether the message is delimited by the end of its connection.
-  bool ends_with_connection() const;
+  bool is_close_delimited() const;
   // Returns how the end of the message was detected. Precondition: done().
   EndKnownBy end_known_by() const;
   // Prepares for the next message. Precondition: done() or not started().
--- a/src/http1_client.cc
+++ b/src/http1_client.cc
@@ -157,8 +157,8 @@
   }
   // An answer without a length is complete only if the connection was closed in
   // an orderly way; after a reset it is truncated.
-  if (status.ok() && answers_call_ && parser_.ends_with_connection() &&
-      parser_.FeedEnd().ok()) {
+  if (status.ok() && answers_call_ && parser_.is_close_delimited() &&
+      parser_.FeedEof().ok()) {
     message_end_ = false;
     EndCall(CallEnd::kWhole, EndName(EndKnownBy::kClose));
     return;
--- a/src/main.cc
+++ b/src/main.cc
@@ -65,7 +65,7 @@
 
 // Returns the port of a base URL such as http://127.0.0.1:9001; 0 if there is
 // none.
-int PortOf(const std::string& url) {
+int PortFromUrl(const std::string& url) {
   int port = 0;
   size_t colon = url.rfind(':');
   if (colon == std::string::npos) return 0;
@@ -118,13 +118,13 @@
   }
   if (command == "fake-engine") {
     FakeEngineOptions o;
-    o.port = PortOf(u->url);
+    o.port = PortFromUrl(u->url);
     o.step = Millis(absl::GetFlag(FLAGS_step_ms));
     o.checks_fencing = !absl::GetFlag(FLAGS_ignore_fencing);
     FakeEngine engine(loop, clock, o);
     return Serve(loop, engine);
   }
-  FakeService service(loop, "127.0.0.1", PortOf(u->url),
+  FakeService service(loop, "127.0.0.1", PortFromUrl(u->url),
                       Millis(absl::GetFlag(FLAGS_delay_ms)));
   return Serve(loop, service);
 }
--- a/src/tcp.cc
+++ b/src/tcp.cc
@@ -50,8 +50,8 @@
              sizeof(kMaxUnsentBytes));
 }
 
-std::shared_ptr<TcpConnection> TcpConnection::Accepted(struct ev_loop* loop,
-                                                       int fd) {
+std::shared_ptr<TcpConnection> TcpConnection::FromAcceptedSocket(
+    struct ev_loop* loop, int fd) {
   PrepareConnection(fd);
   auto c = std::make_shared<TcpConnection>(loop, fd, false);
   c->UpdateWatchedEvents();
@@ -161,7 +161,7 @@
 
 void TcpConnection::OnTimer(struct ev_loop*, ev_timer* w, int) {
   auto self = static_cast<TcpConnection*>(w->data)->shared_from_this();
-  self->Fail(absl::UnavailableError("connect timed out or failed"));
+  self->CloseAndNotify(absl::UnavailableError("connect timed out or failed"));
 }
 
 void TcpConnection::OnReadable() {
@@ -169,11 +169,11 @@
   ssize_t n = read(fd_, buf, sizeof(buf));
   if (n < 0) {
     if (errno == EAGAIN || errno == EINTR) return;
-    Fail(absl::UnavailableError(std::strerror(errno)));
+    CloseAndNotify(absl::UnavailableError(std::strerror(errno)));
     return;
   }
   if (n == 0) {
-    Fail(absl::OkStatus());
+    CloseAndNotify(absl::OkStatus());
     return;
   }
   if (close_after_writes_) return;
@@ -189,7 +189,7 @@
     getsockopt(fd_, SOL_SOCKET, SO_ERROR, &err, &len);
     if (err != 0) {
       refused_ = err == ECONNREFUSED;
-      Fail(absl::UnavailableError(std::strerror(err)));
+      CloseAndNotify(absl::UnavailableError(std::strerror(err)));
       return;
     }
     connected_ = true;
@@ -203,7 +203,7 @@
         send(fd_, out_.data() + sent_, out_.size() - sent_, MSG_NOSIGNAL);
     if (n < 0) {
       if (errno == EAGAIN || errno == EINTR) break;
-      Fail(absl::UnavailableError(std::strerror(errno)));
+      CloseAndNotify(absl::UnavailableError(std::strerror(errno)));
       return;
     }
     sent_ += static_cast<size_t>(n);
@@ -222,7 +222,7 @@
   UpdateWatchedEvents();
 }
 
-void TcpConnection::Fail(absl::Status status) {
+void TcpConnection::CloseAndNotify(absl::Status status) {
   auto f = events_.on_closed;
   Close();
   if (f) f(std::move(status));
@@ -323,7 +323,7 @@
     struct ev_loop* loop,
     std::function<void(std::shared_ptr<TcpConnection>)> on_accept)
     : acceptor_(loop, [loop, f = std::move(on_accept)](int fd) {
-        f(TcpConnection::Accepted(loop, fd));
+        f(TcpConnection::FromAcceptedSocket(loop, fd));
       }) {}
 
 }  // namespace medlarwalk
--- a/src/tcp.h
+++ b/src/tcp.h
@@ -43,7 +43,8 @@
 class TcpConnection : public std::enable_shared_from_this<TcpConnection> {
  public:
   // Takes ownership of an accepted socket.
-  static std::shared_ptr<TcpConnection> Accepted(struct ev_loop* loop, int fd);
+  static std::shared_ptr<TcpConnection> FromAcceptedSocket(struct ev_loop* loop,
+                                                           int fd);
   // Starts to connect. The connection fails with Unavailable if it is not
   // established within `timeout`.
   static std::shared_ptr<TcpConnection> Connect(struct ev_loop* loop,
@@ -79,10 +80,12 @@
  private:
   static void OnIo(struct ev_loop* loop, ev_io* w, int revents);
   static void OnTimer(struct ev_loop* loop, ev_timer* w, int revents);
+  // Watches the socket for the events that the current state needs.
   void UpdateWatchedEvents();
   void OnReadable();
   void OnWritable();
-  void Fail(absl::Status status);
+  // Closes the connection and passes `status` to on_closed.
+  void CloseAndNotify(absl::Status status);
 
   struct ev_loop* loop_;
   int fd_;
