--- a/src/base/disk_file.h
+++ b/src/base/disk_file.h
@@ -1,5 +1,5 @@
-// Durable files in the data directory of a process. A write is durable when the
-// call returns Ok; after an error it may or may not be.
+// Durable files in the data directory of a process. A write that returned Ok is
+// durable; a write that returned an error may or may not be.
 #ifndef MEDLARWALK_DISK_FILE_H_
 #define MEDLARWALK_DISK_FILE_H_
 
@@ -12,8 +12,9 @@
 
 namespace medlarwalk {
 
-// A hook called before bytes are written to disk, to simulate disk faults. Its
-// error is treated as a disk error. It may block as long as a slow disk does.
+// A hook called before bytes are written to disk, to simulate disk faults. An
+// error that it returns is treated as a disk error. It may block, to simulate a
+// slow disk.
 using BeforeWrite = std::function<absl::Status()>;
 
 // Returns an Unavailable error with `operation` and the text of errno.
--- a/src/base/errors.cc
+++ b/src/base/errors.cc
@@ -11,8 +11,9 @@
 constexpr char kPayloadUrl[] = "medlarwalk/kind";
 
 // Indexed by ErrorKind. 503 asks the caller to retry later and always carries
-// Retry-After. 409 is a conflict: on the idempotency key, or a stale fencing
-// number. 502 is an upstream failure after the request may have started.
+// Retry-After. 409 reports a conflict: either of the idempotency key or of a
+// stale fencing number. 502 reports an upstream failure after the request may
+// have started.
 constexpr std::array<Answer, kErrorKindCount> kAnswers = {{
     {400, "bad_request", false, true},
     {403, "unknown_account", false, true},
--- a/src/base/errors.h
+++ b/src/base/errors.h
@@ -23,19 +23,20 @@
   kTargetUnmeetable,  // Rejected: the wait would exceed the class target.
   kShed,              // Removed from the queue for a higher-tier request.
   kNoUpstream,        // No available upstream serves the model.
-  kNotRun,            // No upstream received it: safe to resend.
-  kOutcomeUnknown,    // May have run. Safe to resend with the same key.
-  kStillRunning,      // A request with this idempotency key is running.
-  kKeyReused,         // The idempotency key was used for another request.
-  kDraining,          // The process is stopping; accepts no new work.
-  kStaleFencing,      // The order carried an old fencing number.
-  kNoConfiguration,   // The process has no configuration yet.
-  kUnknownRoute,      // No route matches the request.
-  kUnknownKey,        // No account has the caller's API key.
-  kTimedOut,          // Past its deadline; the request may have run.
-  kNotRunInTime,      // Past its deadline; no upstream received it.
-  kQuarantined,       // The request has crashed upstreams that ran it.
-  kInternal,          // A fault in medlarwalk itself.
+  kNotRun,            // No upstream received the request: safe to resend.
+  // The request may have run. Safe to resend with the same idempotency key.
+  kOutcomeUnknown,
+  kStillRunning,     // A request with this idempotency key is running.
+  kKeyReused,        // The idempotency key was used for another request.
+  kDraining,         // The process is stopping and accepts no new requests.
+  kStaleFencing,     // The order carried an old fencing number.
+  kNoConfiguration,  // The process has no configuration yet.
+  kUnknownRoute,     // No route matches the request.
+  kUnknownKey,       // No account has the caller's API key.
+  kTimedOut,         // The deadline has passed; the request may have run.
+  kNotRunInTime,  // The deadline has passed; no upstream received the request.
+  kQuarantined,   // The request has crashed upstreams that ran it.
+  kInternal,      // A fault in medlarwalk itself.
 };
 
 // Number of error kinds, for tables and tests.
--- a/src/base/heap_use.h
+++ b/src/base/heap_use.h
@@ -10,8 +10,8 @@
 
 // Heap usage in bytes.
 struct HeapUse {
-  size_t in_use = 0;  // Allocated by the program.
-  size_t held = 0;    // Obtained from the kernel, including free memory.
+  size_t in_use = 0;  // Bytes allocated by the program.
+  size_t held = 0;    // Bytes obtained from the kernel, including free memory.
 };
 
 // Returns the allocator's own counters. Takes about a microsecond and makes no
--- a/src/base/json_numbers.h
+++ b/src/base/json_numbers.h
@@ -26,11 +26,13 @@
     fits = n < 0 ? kMin < 0 && n >= static_cast<int64_t>(kMin)
                  : static_cast<uint64_t>(n) <= static_cast<uint64_t>(kMax);
   } else if (j.is_number_float()) {
-    // The maximum of Int may round up to a double that is out of range.
+    // The maximum of Int may round up to a double outside the range of Int, so
+    // `d` must be less than that double.
     double d = j.get<double>();
     fits = d >= static_cast<double>(kMin) && d < static_cast<double>(kMax);
   } else {
-    return j.get<Int>();  // Throws an exception that names the type.
+    // Throws an exception that names the actual type of `j`.
+    return j.get<Int>();
   }
   if (!fits) {
     throw nlohmann::json::other_error::create(501, "number out of range",
--- a/src/base/log.cc
+++ b/src/base/log.cc
@@ -23,9 +23,9 @@
   return logger;
 }
 
-// Sustained lines per second, and burst size. The limit is several times what
-// a busy entry writes, and a tenth of the rate that would take a noticeable
-// share of its CPU time.
+// Sustained log lines per second, and burst size in lines. The rate is several
+// times what a busy entry writes, and a tenth of the rate that would take a
+// noticeable share of its CPU time.
 constexpr double kLinesPerSecond = 400;
 constexpr double kLineBurst = 2000;
 
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -43,7 +43,8 @@
 // counted when the rate limit is exceeded or the reader of the log does not
 // keep up. Thread safety: loop thread only.
 void LogEvent(absl::string_view event, std::initializer_list<Field> fields);
-// Writes one event line at warn level, with the limits of LogEvent().
+// Writes one event line at warn level. The rate limit and thread safety are
+// those of LogEvent().
 void LogWarn(absl::string_view event, std::initializer_list<Field> fields);
 
 // Returns the number of log lines dropped since the process started.
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -81,13 +81,14 @@
  public:
   // Memory use of the control process, in bytes.
   struct Memory {
-    size_t config = 0;       // The newest committed configuration.
-    size_t log = 0;          // Log entries after the snapshot.
-    size_t log_entries = 0;  // Number of log entries; not bytes.
-    size_t peers = 0;        // Queued for other control processes.
-    size_t watchers = 0;     // Queued for watching processes.
-    size_t heap = 0;         // Allocated on the heap in total.
-    size_t heap_held = 0;    // Obtained from the kernel by the allocator.
+    size_t config = 0;       // Size of the newest committed configuration.
+    size_t log = 0;          // Size of the log entries after the snapshot.
+    size_t log_entries = 0;  // Number of log entries, not bytes.
+    size_t peers = 0;        // Data queued for other control processes.
+    size_t watchers = 0;     // Data queued for processes that watch this one.
+    size_t heap = 0;         // Total heap memory allocated by the program.
+    // Memory that the allocator obtained from the kernel.
+    size_t heap_held = 0;
   };
   // The current state of the control process.
   struct State {
@@ -97,16 +98,18 @@
     int64_t config_version = 0;
     size_t voters = 0;
     size_t followers = 0;
-    size_t quarantined = 0;  // Quarantined request fingerprints.
-    double step_age_s = -1;  // Since last in sync with the leader; < 0: never.
-    double list_age_s = -1;  // Since the upstream list was read; < 0: never.
+    size_t quarantined = 0;  // Number of quarantined request fingerprints.
+    // Seconds since the last synchronization with the leader; < 0: never.
+    double step_age_s = -1;
+    // Seconds since the upstream list was read; < 0: never.
+    double list_age_s = -1;
   };
   ControlMetrics();
   // Records one operator call, with its outcome and duration.
   void ObserveCall(absl::string_view call, absl::string_view outcome,
                    double seconds);
-  // Counts one answered watch, by what was published: a configuration, a list
-  // or nothing new.
+  // Counts one answered watch, by the published content: a configuration, an
+  // upstream list or nothing new.
   void CountWatch(absl::string_view what);
   // Counts one published upstream list and its size, by its form: "whole" or
   // "difference".
--- a/src/base/packed.cc
+++ b/src/base/packed.cc
@@ -12,8 +12,8 @@
 // The first byte of an RFC 1950 stream with the window size that zlib uses:
 // 'x'.
 constexpr char kZlibFirstByte = 0x78;
-// Routes differ in few bytes, so the fastest level compresses nearly as well as
-// the best one.
+// Routes differ in few bytes, so the fastest compression level yields nearly
+// the size of the best one.
 constexpr int kCompressionLevel = Z_BEST_SPEED;
 constexpr size_t kInitialOutputBytes = size_t{64} * 1024;
 
@@ -41,8 +41,8 @@
   std::string text;
   int rc = Z_OK;
   while (rc == Z_OK && text.size() < max_bytes + 1) {
-    // Decompress at most one byte more than allowed, to detect a text that is
-    // too large.
+    // Decompresses at most one byte more than allowed: the extra byte shows
+    // that the text is too large.
     size_t chunk_size = std::min(std::max(text.size(), kInitialOutputBytes),
                                  max_bytes + 1 - text.size());
     size_t old_size = text.size();
--- a/src/base/payload.cc
+++ b/src/base/payload.cc
@@ -5,9 +5,9 @@
 namespace medlarwalk {
 namespace {
 
-// Removed bytes are erased from the string only when they are at least this
-// many and at least half of it. An erase after each read would move the rest of
-// a large body each time.
+// Bytes removed from the front are erased from the string only when there are
+// at least this many and they make up at least half of the string. An erase
+// after each read would move the remaining bytes of a large body each time.
 constexpr size_t kMinErasedBytes = size_t{64} * 1024;
 
 }  // namespace
--- a/src/base/payload.h
+++ b/src/base/payload.h
@@ -42,8 +42,8 @@
   // Returns the next contiguous bytes.
   absl::string_view FrontPiece() const;
 
-  std::deque<Document> pieces_;  // The bytes before `tail_`.
-  size_t pieces_size_ = 0;       // Total size of `pieces_`.
+  std::deque<Document> pieces_;  // Pieces that precede the bytes in `tail_`.
+  size_t pieces_size_ = 0;       // Total size of `pieces_` in bytes.
   std::string tail_;             // Owned bytes at the end of the queue.
   // Bytes already removed from the first piece, or from `tail_` if there is no
   // piece.
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -37,9 +37,9 @@
 };
 
 // A monotonic clock that keeps counting while the host is suspended
-// (CLOCK_BOOTTIME). Used for leases and for the age of data: with
-// std::chrono::steady_clock, a process that resumes after a suspension would
-// measure no elapsed time and act on a lease that has expired.
+// (CLOCK_BOOTTIME). Used for leases and for the age of data.
+// std::chrono::steady_clock stops during a suspension: a process that resumes
+// would measure no elapsed time and act on a lease that has expired.
 class BootClock : public Clock {
  public:
   TimePoint Now() const override {
@@ -81,15 +81,16 @@
       std::chrono::duration<double>(std::clamp(seconds, -kYear, kYear)));
 }
 
-// Converts `ms` from an untrusted source to a Duration, as BoundedSeconds().
+// Converts `ms` from an untrusted source to a Duration, clamped as in
+// BoundedSeconds().
 inline Duration BoundedMs(double ms) { return BoundedSeconds(ms / 1000); }
 
 // Header fields in the order received, with names as the sender wrote them.
 using HeaderList = std::vector<std::pair<std::string, std::string>>;
 
 // The priority of a class of work: tier 0 is the highest. A request of a lower
-// tier (higher number) is served before one of a higher tier only when it has
-// waited for the starvation bound.
+// tier (higher number) is served before a request of a higher tier only after
+// it has waited for the starvation bound.
 using Tier = int;
 
 // Identifies one request of a caller across entry, agent and logs.
@@ -104,9 +105,10 @@
 };
 
 // Returns a hash (xxHash, XXH3) that is the same in every process and every
-// run. Routing and the at-most-once ledger depend on it. absl::Hash is seeded
-// per process: two entries would send one idempotency key to different agents,
-// and a restarted agent would not recognize its stored fingerprints.
+// run. Routing and the at-most-once ledger depend on that. absl::Hash is
+// unsuitable because it is seeded per process: two entries would send one
+// idempotency key to different agents, and a restarted agent would not
+// recognize its stored fingerprints.
 inline uint64_t StableHash(absl::string_view data, uint64_t seed = 0) {
   return XXH3_64bits_withSeed(data.data(), data.size(), seed);
 }
--- a/src/duty/duty_log.h
+++ b/src/duty/duty_log.h
@@ -1,12 +1,13 @@
 // Log of duties: calls to outside systems that one host at a time makes for the
-// whole group. It holds the content that the group has committed to send, by
-// subject. The log is part of the replicated state: every replica applies the
+// whole group. The log holds the content that the group has committed to send,
+// by subject. It is part of the replicated state: every replica applies the
 // same records in the same order.
 //
 // Load pattern: an unanswered call may be executed seconds later, after calls
 // of another holder. A repeated call must have the same content as the first
-// one, whichever host sends it. So a record is committed before it is first
-// sent, and the first record committed under a number wins.
+// one, whichever host sends it. Therefore a record is committed before it is
+// first sent, and of several records with the same sequence number the first
+// committed one is used.
 #ifndef MEDLARWALK_DUTY_LOG_H_
 #define MEDLARWALK_DUTY_LOG_H_
 
@@ -18,12 +19,14 @@
 
 namespace medlarwalk {
 
-// The content of one call on a subject. Its commit makes it final.
+// The content of one call on a subject. Once committed, it never changes.
 struct DutyRecord {
   std::string subject;
-  int64_t number = 0;  // Sequence number of the call; grows within a subject.
-  Document content;    // Never null.
-  // All calls up to this number were accepted, as far as the proposer knew.
+  // Sequence number of the call; increases within a subject.
+  int64_t number = 0;
+  Document content;  // Never null.
+  // All calls up to this sequence number were accepted, as far as the proposer
+  // of the record knew.
   int64_t done_through = 0;
 };
 
@@ -32,27 +35,30 @@
  public:
   // The state of one subject.
   struct Subject {
-    int64_t fixed_through = 0;  // The highest committed number; 0: none yet.
-    int64_t done_through = 0;   // All calls up to this number were accepted.
-    // Contents by number: committed, but not known to be accepted.
+    // The highest committed sequence number; 0: none yet.
+    int64_t fixed_through = 0;
+    // All calls up to this sequence number were accepted.
+    int64_t done_through = 0;
+    // Contents by sequence number: committed, but not known to be accepted.
     std::map<int64_t, Document> open;
-    // Returns the size of all contents in `open`.
+    // Returns the size of all contents in `open`, in bytes.
     size_t Bytes() const;
   };
 
-  // Applies a committed record. Returns false, and ignores the content, if a
-  // record with the same or a higher number was applied before.
+  // Applies a committed record. Returns false and ignores the record if one of
+  // its subject with the same or a higher sequence number was applied before.
   bool Apply(const DutyRecord& r);
   // Returns the state of `subject`; an empty one if nothing is committed.
   const Subject& FindSubject(const std::string& subject) const;
   const std::map<std::string, Subject>& subjects() const { return subjects_; }
   // Sets the state of `subject` from a snapshot.
   void Restore(const std::string& subject, Subject s);
-  // Returns the size of all open contents of all subjects.
+  // Returns the size of all open contents of all subjects, in bytes.
   size_t Bytes() const;
 
  private:
-  // Open records per subject; the oldest are dropped above this.
+  // Maximum number of open records per subject; the oldest are dropped beyond
+  // it.
   static constexpr size_t kMaxOpen = 64;
 
   std::map<std::string, Subject> subjects_;
--- a/src/duty/duty_turn.h
+++ b/src/duty/duty_turn.h
@@ -3,8 +3,8 @@
 //
 // The duty holder is the leader of the group, and its term is the token. A term
 // has at most one leader, so no two hosts ever use the same token. A new leader
-// waits until any previous holder must have stopped. Otherwise hosts could act
-// in the order A, B, A within one lease if leaders change quickly.
+// waits until any previous holder must have stopped. Without this wait, quick
+// changes of leader would let hosts act in the order A, B, A within one lease.
 #ifndef MEDLARWALK_DUTY_TURN_H_
 #define MEDLARWALK_DUTY_TURN_H_
 
@@ -16,14 +16,14 @@
 namespace medlarwalk {
 
 struct DutyTurnPolicy {
-  // The lease that the outside system grants a holder.
+  // Duration of the lease that the outside system grants a holder.
   Duration lease{};
   // Added to the lease: covers the time until a leader notices that it has lost
   // its quorum, and the transit of its last call.
   Duration margin = std::chrono::seconds(1);
   // Maximum age of the quorum's last confirmation of the leadership, counted
-  // from the request for it: a process that was frozen after it sent the
-  // request has to request another confirmation.
+  // from the time at which it was requested. A process that was frozen after
+  // its request must therefore request another confirmation.
   Duration max_confirmation_age = Millis(250);
 };
 
@@ -56,8 +56,8 @@
   DutyTurnPolicy policy_;
   bool leads_ = false;
   uint64_t term_ = 0;
-  TimePoint since_{};         // When the leadership began.
-  TimePoint confirmed_at_{};  // When the last confirmation was requested.
+  TimePoint since_{};         // When the current leadership began.
+  TimePoint confirmed_at_{};  // Request time of the last confirmation.
   bool confirmed_ = false;
   bool refused_ = false;
 };
--- a/src/duty/group_time.h
+++ b/src/duty/group_time.h
@@ -41,7 +41,7 @@
   // Records the group's time, received at `now` from the process that this one
   // follows. UnixMs() prefers received times to samples until the latest sample
   // is newer by more than kReceivedTrust. That happens once this process has
-  // become the leader.
+  // become the leader and receives no more times.
   void NoteTold(int64_t unix_ms, TimePoint now);
   // Returns the group's time at `at`, in milliseconds since the Unix epoch;
   // nullopt before any time was recorded.
@@ -50,17 +50,18 @@
  private:
   // Samples and received times older than this are dropped.
   static constexpr auto kSampleTrust = std::chrono::seconds(5);
-  // How much older than the latest sample a received time may be.
+  // Maximum time by which a received time may be older than the latest sample.
   static constexpr auto kReceivedTrust = std::chrono::seconds(2);
   struct Sample {
     int64_t offset_ms = 0;  // Wall clock minus monotonic clock.
-    TimePoint at{};         // When it was recorded.
+    TimePoint at{};         // When the offset was recorded.
   };
   std::map<std::string, Sample> samples_;
   std::optional<int64_t> median_offset_;  // Of the samples, in ms.
-  TimePoint median_at_{};                 // When it was computed.
+  TimePoint median_at_{};                 // When the median was computed.
   // Recently received times. Transit only makes a received time appear too
-  // early, so the one with the largest offset had the shortest transit.
+  // early, so the received time with the largest offset had the shortest
+  // transit and is the most accurate.
   std::deque<Sample> received_;
 };
 
--- a/src/duty/usage_book.h
+++ b/src/duty/usage_book.h
@@ -1,8 +1,8 @@
 // Table of usage counts: requests that started to run, by window of the group's
 // time and client account. An entry holds its own counts; a control process
-// holds the counts of all processes that report to it. Each process has its own
-// counts, which only grow, and merging keeps the larger value. So counts may be
-// reported any number of times and through any other process.
+// holds the counts of all processes that report to it. Counts are kept per
+// process and only grow, and merging keeps the larger value. Therefore counts
+// may be reported any number of times and through any other process.
 #ifndef MEDLARWALK_USAGE_BOOK_H_
 #define MEDLARWALK_USAGE_BOOK_H_
 
@@ -17,12 +17,12 @@
 
 namespace medlarwalk {
 
-// Requests by client account.
+// Number of requests by client account.
 using UsageCounts = std::map<std::string, int64_t>;
 
-// The count of one process since its start, for one window and account.
+// The request count of one process since its start, for one window and account.
 struct UsageRecord {
-  uint64_t process = 0;  // Random id, drawn at each start.
+  uint64_t process = 0;  // Random id of the process, drawn at each start.
   int64_t window = 0;
   std::string account;
   int64_t count = 0;
@@ -31,7 +31,7 @@
 // The counts of all known processes. Thread safety: loop thread only.
 class UsageBook {
  public:
-  // `max_records`: records kept; further records are ignored.
+  // `max_records`: maximum number of records; further records are ignored.
   explicit UsageBook(size_t max_records = 65536) : max_records_(max_records) {}
 
   // Adds one request to the count of `process`.
@@ -45,7 +45,7 @@
   // Returns the counts of all processes in `window`, by account.
   UsageCounts SumByAccount(int64_t window) const;
   // Returns the number of processes with counts in `window`. A restarted
-  // process counts again.
+  // process counts as another process.
   size_t CountProcesses(int64_t window) const;
   // Returns the oldest window with counts; nullopt if there is none.
   std::optional<int64_t> first_window() const;
@@ -75,7 +75,8 @@
 
   size_t max_records_;
   std::map<Key, Cell> cells_;
-  std::map<uint64_t, Key> by_seq_;  // Keys by sequence number of last change.
+  // Keys by the sequence number of their last change.
+  std::map<uint64_t, Key> by_seq_;
   int64_t dropped_through_ = 0;
   uint64_t seq_ = 0;
 };
@@ -84,13 +85,13 @@
 // confirmed yet. Thread safety: loop thread only.
 class UsageReports {
  public:
-  // `interval`: minimum time between two reports. Counts that a process has not
-  // reported are lost if it fails. Precondition: `book` outlives this.
+  // `interval`: minimum time between two reports. Counts that this process has
+  // not yet reported are lost if it fails. Precondition: `book` outlives this.
   UsageReports(const UsageBook& book, Duration interval)
       : book_(book), interval_(interval) {}
 
-  // Returns the records to report to `target` next; none before the interval
-  // has passed.
+  // Returns the records to report to `target` next. Returns none before the
+  // minimum interval between reports has passed.
   std::vector<UsageRecord> For(const std::string& target, TimePoint now);
   // Records that the target has received the last report.
   void Confirmed() { confirmed_ = sent_; }
@@ -105,7 +106,7 @@
   Duration interval_;
   std::string target_;
   std::optional<TimePoint> last_report_at_;
-  uint64_t sent_ = 0;       // Sequence number covered by the last report.
+  uint64_t sent_ = 0;       // Sequence number that the last report covers.
   uint64_t confirmed_ = 0;  // Sequence number that the target has confirmed.
 };
 
--- a/src/duty/usage_schedule.h
+++ b/src/duty/usage_schedule.h
@@ -22,13 +22,14 @@
 
 struct UsagePolicy {
   Duration window{};  // Length of a window; 0: usage is not reported.
-  Duration due{};     // Deadline of a report, after the end of its window.
-  // A window is committed when this share of `due` has passed since its end.
-  // That is late enough for delayed reports of entries, and early enough for a
-  // new leader, which has to wait before it may send the report. Until the
-  // commit, the counts exist only in the memory of processes.
+  Duration due{};  // Deadline of a report, counted from the end of its window.
+  // A window is committed when this share of `due` has passed since the end of
+  // the window. That is late enough for delayed reports of entries, and early
+  // enough for a new leader, which has to wait before it may send the report.
+  // Until the commit, the counts exist only in the memory of processes.
   double commit_delay_share = 0.25;
-  // Past windows that are still reported after an outage of the group.
+  // Maximum number of past windows that are still reported after an outage of
+  // the group.
   int64_t max_windows_behind = 32;
   // Delay before a failed report is sent again; doubles with each failure.
   Duration first_retry_delay = Millis(300);
@@ -42,9 +43,9 @@
 Millis SinceEnd(int64_t window, int64_t unix_ms, const UsagePolicy& policy);
 
 // Returns the window whose counts are to be committed now, if any. All windows
-// from the first with counts are committed, without gaps: the receiver could
-// not distinguish a skipped report from a lost one. Only windows that are more
-// than `max_windows_behind` behind are skipped.
+// from the first with counts are committed, without gaps, because the receiver
+// could not distinguish a skipped report from a lost one. The exception is
+// windows older than the last `max_windows_behind`: they are skipped.
 std::optional<int64_t> WindowToCommit(const DutyLog::Subject& subject,
                                       const UsageBook& book, int64_t unix_ms,
                                       const UsagePolicy& policy);
@@ -60,16 +61,17 @@
  public:
   explicit UsageDeliveries(UsagePolicy policy) : policy_(policy) {}
 
-  // Returns the window of the oldest open report that is due to be sent;
-  // nullopt while all open reports are accepted or wait for a retry.
+  // Returns the window of the oldest open report that is due to be sent.
+  // Returns nullopt if each open report is accepted or waits for a retry.
   std::optional<int64_t> NextToSend(const DutyLog::Subject& subject,
                                     TimePoint now) const;
   // Records that the report of `window` was accepted.
   void RecordAccepted(int64_t window);
   // Records that sending the report of `window` failed, and schedules a retry.
   void RecordFailed(int64_t window, TimePoint now);
-  // Forgets all deliveries. For a new term: another leader may have sent
-  // reports since, and the log holds what it found accepted.
+  // Forgets all deliveries. Called when the term changes: another leader may
+  // have sent reports in the meantime, and the log shows which reports it found
+  // accepted.
   void Reset();
   // Returns the window up to which all reports are accepted, according to the
   // log and to the deliveries recorded here.
--- a/src/policy/change_reports.h
+++ b/src/policy/change_reports.h
@@ -1,7 +1,7 @@
-// Tracks which records of a source the process reported to (the target) has not
-// confirmed yet. The source numbers its changes: seq() returns the number of
-// its last change, ChangedSince(seq, max_records) at most `max_records` records
-// that changed after `seq`.
+// Tracks which records of a source are not yet confirmed by the process that
+// receives the reports (the target). The source numbers its changes: seq()
+// returns the number of its last change, and ChangedSince(seq, max_records)
+// returns at most `max_records` records that changed after `seq`.
 #ifndef MEDLARWALK_CHANGE_REPORTS_H_
 #define MEDLARWALK_CHANGE_REPORTS_H_
 
@@ -19,7 +19,7 @@
   // Precondition: `source` outlives this.
   explicit ChangeReports(const Source& source) : source_(source) {}
 
-  // Returns the records to report to `target` next: those that it has not
+  // Returns the records to report to `target` next: those that `target` has not
   // confirmed.
   auto For(const std::string& target) {
     if (target != target_) confirmed_ = 0;
@@ -36,12 +36,13 @@
   bool waiting() const { return source_.seq() > sent_; }
 
  private:
-  // Records in one report: enough for the crash of a whole rack of engines.
+  // Maximum number of records in one report: enough for the crash of a whole
+  // rack of engines.
   static constexpr size_t kMaxRecordsPerReport = 512;
 
   const Source& source_;
   std::string target_;
-  uint64_t sent_ = 0;       // Sequence number covered by the last report.
+  uint64_t sent_ = 0;       // Sequence number that the last report covers.
   uint64_t confirmed_ = 0;  // Sequence number that the target has confirmed.
 };
 
--- a/src/policy/limit_book.cc
+++ b/src/policy/limit_book.cc
@@ -8,10 +8,12 @@
 namespace medlarwalk {
 namespace {
 
-// Far more than the upstreams that announce limits at the same time.
+// Maximum number of records: far more than the upstreams that announce limits
+// at the same time.
 constexpr size_t kMaxEntries = 1024;
-// How long the record of a lifted limit or of an unlisted upstream is kept. The
-// upstream list may lag behind the first answers of a new upstream.
+// How long the record of a lifted limit or of an unlisted upstream is kept.
+// Records of unlisted upstreams are kept because the upstream list may lag
+// behind the first answers of a new upstream.
 constexpr auto kRetention = std::chrono::seconds(30);
 // Relative changes of a limit up to this size are ignored, because each change
 // is published to every process.
@@ -42,7 +44,7 @@
     if (entries_.size() >= kMaxEntries) return;
     it = entries_.try_emplace(r.upstream).first;
   } else if (it->second.record.per_s == r.per_s) {
-    // The same limit, received by another route.
+    // The same rate limit, received through another process.
     it->second.record.since = std::min(it->second.record.since, r.since);
     return;
   } else if (it->second.record.at >= r.at) {
--- a/src/policy/limit_book.h
+++ b/src/policy/limit_book.h
@@ -3,10 +3,10 @@
 //
 // Load pattern: an overloaded upstream announces a limit in its answers. The
 // next answer may reach another entry seconds later, or minutes later in a
-// large fleet. An entry that waited for its own answer would keep sending until
-// then, and would send too little for as long after the limit has ended. So a
-// process reports a changed limit at once, and every process uses the newest
-// limit that any process has received.
+// large fleet. An entry that waited for an answer of its own would exceed the
+// limit until then, and would send too little for as long after the limit has
+// ended. Therefore a process reports a changed limit at once, and every process
+// uses the newest limit that any process has received.
 #ifndef MEDLARWALK_LIMIT_BOOK_H_
 #define MEDLARWALK_LIMIT_BOOK_H_
 
@@ -26,8 +26,9 @@
 // The most recent limit that an upstream announced.
 struct LimitRecord {
   std::string upstream;
-  std::optional<double> per_s;  // Requests per second; nullopt: lifted.
-  TimePoint at{};               // When an answer first announced this value.
+  // Requests per second; nullopt: the limit was lifted.
+  std::optional<double> per_s;
+  TimePoint at{};     // When an answer first announced this limit.
   TimePoint since{};  // When the upstream went from unlimited to limited.
 };
 
@@ -42,11 +43,11 @@
   // of each upstream wins, in whatever order and however often records arrive.
   // Merged changes are forwarded: ChangedSince returns them.
   void TakeReported(absl::Span<const LimitRecord> records);
-  // Merges records published by the process that this one reports to. They are
-  // not reported back.
+  // Merges records published by the process to which this one reports. They are
+  // not reported back to it.
   void TakeTold(absl::Span<const LimitRecord> records);
-  // Removes lifted limits and the limits of upstreams that are not listed, once
-  // their record is old enough.
+  // Removes the records of lifted limits and of upstreams that are not listed,
+  // once these records are old enough.
   void Keep(const std::function<bool(const std::string&)>& listed,
             TimePoint now);
 
@@ -59,21 +60,24 @@
   size_t in_force() const;
   // Returns a hash of the contents of All(); 0 if it is empty.
   int64_t version() const { return version_; }
-  // Returns a counter that grows with every change, whatever its source.
+  // Returns a counter that increases with every change, whether recorded here,
+  // reported or published.
   uint64_t changes() const { return changes_; }
 
-  // Returns the sequence number of the last change recorded or reported here.
+  // Returns the sequence number of the last change that this process recorded
+  // or that another process reported to it.
   uint64_t seq() const { return seq_; }
-  // Returns the records that were recorded or reported after `seq`, at most
-  // `max_records`.
+  // Returns at most `max_records` records that were recorded here or reported
+  // to this process after `seq`.
   std::vector<LimitRecord> ChangedSince(uint64_t seq, size_t max_records) const;
 
  private:
   struct Entry {
     LimitRecord record;
-    uint64_t seq = 0;  // 0: published by the process reported to.
+    uint64_t seq = 0;  // 0: published by the process to which this one reports.
   };
-  // `forward`: the change is reported onward.
+  // `forward`: whether ChangedSince returns the change, so that it is reported
+  // onward.
   void MergeRecord(const LimitRecord& r, bool forward);
   // Counts a change and recomputes the version.
   void RecordChange();
--- a/src/policy/limit_turns.cc
+++ b/src/policy/limit_turns.cc
@@ -6,14 +6,16 @@
 namespace medlarwalk {
 namespace {
 
-// How long a slot stays open: requests rarely arrive exactly when a slot
-// begins. Short compared with the period over which an upstream measures its
-// rate, as all open slots can be used at once.
+// How long a send slot stays open: requests rarely arrive exactly when a slot
+// begins. The time is short compared with the period over which an upstream
+// measures its rate, because the slots that are open at one moment can all be
+// used at once.
 constexpr auto kOpenTime = Millis(1000);
 // How long an upstream receives no requests after it becomes limited.
 constexpr auto kInitialHold = Millis(3000);
-// An upstream with a lower limit, such as 0, still receives requests at this
-// rate, which shows whether its limit has changed.
+// Lower bound of the rate, in requests per second. An upstream with a lower
+// limit, such as 0, still receives requests at this rate: their answers show
+// whether the limit has changed.
 constexpr double kMinPerS = 0.1;
 
 }  // namespace
@@ -27,8 +29,8 @@
                                  static_cast<uint64_t>(process_count));
   int index = (ask.process.place + offset) % process_count;
   Millis after = ask.time - kOpenTime;
-  // After the clock is set back, `taken` may lie far in the future. It is then
-  // ignored, as it would otherwise close all slots until the clock catches up.
+  // After the clock is set back, `taken` may lie far in the future. It is
+  // ignored then: otherwise no slot would open until the clock catches up.
   if (taken && *taken - ask.time < kOpenTime) after = std::max(after, *taken);
   // Adds half a millisecond because slots begin at whole milliseconds: the
   // slot that begins at `after` must be excluded.
--- a/src/policy/limit_turns.h
+++ b/src/policy/limit_turns.h
@@ -23,27 +23,28 @@
 
 // The index of this process among the processes that share upstreams.
 struct TurnPlace {
-  int serving = 1;  // Number of processes.
-  int place = 0;    // From 0 to serving - 1, unique to this process.
+  int serving = 1;  // Number of processes that share upstreams.
+  int place = 0;    // Index from 0 to serving - 1, unique to this process.
 };
 
 // Identifies the send slots of one upstream that belong to one process.
 struct TurnAsk {
   absl::string_view upstream;
-  double per_s = 1;  // The rate limit of the upstream.
+  double per_s = 1;  // Rate limit of the upstream, in requests per second.
   TurnPlace process;
-  // Now on the clock that all processes share; its epoch does not matter.
+  // Current time on the clock that all processes share; its epoch does not
+  // matter.
   Millis time{};
 };
 
-// Returns the start of the earliest open slot that begins after `taken`, the
-// start of the last slot used (nullopt: none yet). Returns nullopt if no slot
-// is open.
+// Returns the start of the earliest open slot after the last used one, which
+// began at `taken` (nullopt: no slot used yet). Returns nullopt if no slot is
+// open.
 std::optional<Millis> OpenTurn(const TurnAsk& ask, std::optional<Millis> taken);
 
 // Returns whether an upstream that has announced limits since `since` may
 // receive requests yet. All processes exceeded the limit until it was
-// announced, so the upstream first gets time to work off that excess.
+// announced, so the upstream first gets time to process the excess requests.
 bool TurnsHaveBegun(TimePoint since, TimePoint now);
 
 }  // namespace medlarwalk
--- a/src/policy/newest_gate.h
+++ b/src/policy/newest_gate.h
@@ -15,27 +15,28 @@
 
 namespace medlarwalk {
 
-// Sends changes while fewer than a number of bytes are in flight. Beyond that
-// limit only the newest change is kept pending, and older ones get its result:
-// a change that a newer one replaced never takes effect separately. Pure except
-// for `send`. Thread safety: loop thread only.
+// Sends changes while fewer than a given number of bytes are in flight. Once
+// that many are in flight, only the newest change is kept pending. Each older
+// pending change gets the result of the newest, since a change that was
+// replaced never takes effect separately. Pure except for `send`. Thread
+// safety: loop thread only.
 class NewestGate {
  public:
   using Done = std::function<void(absl::Status)>;
-  // Sends one change. Must call its Done exactly once, possibly before it
-  // returns.
+  // Sends one change. An implementation must call the passed Done exactly once,
+  // possibly before it returns.
   using Send = std::function<void(int64_t version, Document, Done)>;
 
-  // A change is sent whatever its size if fewer than `max_in_flight_bytes` are
-  // in flight.
+  // `max_in_flight_bytes`: a change of any size is sent if fewer bytes than
+  // this are in flight.
   NewestGate(size_t max_in_flight_bytes, Send send)
       : max_in_flight_bytes_(max_in_flight_bytes), send_(std::move(send)) {}
   NewestGate(const NewestGate&) = delete;
   NewestGate& operator=(const NewestGate&) = delete;
 
   // Sends the change or keeps it pending. Calls `done` with the result of this
-  // change or of the one that replaced it. Of pending changes with the same
-  // version, the first is kept.
+  // change or of the change that replaced it. Of several pending changes with
+  // the same version, the first is kept.
   void Offer(int64_t version, Document document, Done done);
   // Returns the number of bytes in flight and pending.
   size_t bytes() const {
@@ -46,7 +47,7 @@
  private:
   struct Change {
     int64_t version = 0;
-    Document document;  // Null: no change.
+    Document document;  // Null: there is no change.
     std::vector<Done> done;
   };
   void SendChange(Change change);
--- a/src/policy/part_memory.h
+++ b/src/policy/part_memory.h
@@ -34,10 +34,10 @@
             TimePoint now);
   // Removes all parts of `engine`, which terminated or lost its memory.
   void Forget(const std::string& engine);
-  // An engine and what it holds of a prompt.
+  // An engine and the number of leading parts of a prompt that it holds.
   struct Holding {
-    std::string engine;  // "" when no engine is known.
-    size_t parts = 0;    // Number of leading parts that it holds.
+    std::string engine;  // "" if no engine is known to hold any part.
+    size_t parts = 0;    // Number of leading parts that the engine holds.
   };
   // Returns the engine that holds the longest leading run of `parts`. The last
   // part belongs to the request alone and is ignored.
--- a/src/policy/placement.cc
+++ b/src/policy/placement.cc
@@ -13,9 +13,9 @@
 
 // Weight of the newest answer in the smoothed failure share.
 constexpr double kFailureSmoothing = 0.15;
-// Number of answers from which the failure share is used.
+// Minimum number of answers for the failure share to be used.
 constexpr int kFailureSamples = 4;
-// Larger than any difference in load.
+// Cost of a straggler: larger than any difference in load.
 constexpr double kStragglerCost = 10;
 // Weight of the newest gap in the smoothed event gap.
 constexpr double kGapSmoothing = 0.2;
@@ -27,13 +27,14 @@
 // A pace faster than this share of the known one is ignored: the events were
 // delayed on their way and arrived together.
 constexpr double kBunchedEventsShare = 0.5;
-// Number of known paces from which slow engines are marked, and the divisor
-// that selects the reference pace: the quantile 1 / kFastQuantileDivisor of all
-// paces.
+// Minimum number of known paces for engines to be marked as slow, and the
+// divisor that selects the reference pace: the quantile 1 /
+// kFastQuantileDivisor of all paces.
 constexpr size_t kMinKnownPaces = 4;
 constexpr size_t kFastQuantileDivisor = 4;
-// Upper bound of a recorded token gap, in shares of its target. A stream that
-// broke off says nothing about the gaps of others.
+// Upper bound of a recorded token gap, in shares of its target. The bound
+// limits the effect of a stream that broke off, which says nothing about the
+// gaps of other streams.
 constexpr double kMaxGapShare = 1.2;
 
 double RemainingPrefillTokens(const UpstreamBoard& u, TimePoint now,
@@ -51,9 +52,9 @@
 struct Candidate {
   size_t index;
   double score;
-  bool busy;                   // At its load or prefill limit.
+  bool busy;                   // At its load limit or prefill limit.
   bool shape_mismatch;         // Reserved for the other work shape.
-  uint64_t affinity_hash = 0;  // Of engine and prefix; 0: no affinity.
+  uint64_t affinity_hash = 0;  // Hash of engine and prefix; 0: no affinity.
 
   // Orders the preferred engines of a prefix, identically in every entry
   // process.
@@ -63,16 +64,16 @@
   }
 };
 
-// Returns `share` of the slots that one of `serving` processes has at an engine
-// of `slots` slots.
+// Returns this process's part of the slots of one engine, multiplied by
+// `share`. The engine has `slots` slots, divided among `serving` processes.
 int OwnSlotShare(double share, int slots, int serving) {
-  // With one slot an entry has no choice between equally loaded engines.
+  // With a single slot an entry could not choose between equally loaded
+  // engines.
   constexpr int kLeast = 2;
   double own_slots = static_cast<double>(slots) / std::max(1, serving);
   return std::max(kLeast, static_cast<int>(std::ceil(own_slots * share)));
 }
 
-// Returns the mean failure share of the service's upstreams.
 double MeanFailureShare(absl::Span<const UpstreamBoard> upstreams,
                         absl::string_view service) {
   double sum = 0;
@@ -160,10 +161,10 @@
 }
 
 // Keeps only the preferred engines of a prefix, which every entry process
-// computes identically without communication. Each further engine prefills the
-// prefix again, and the prefix evicts others from its cache. Each engine's hash
-// is computed once beforehand: a sort that computes the hashes of 3,000 engines
-// in its comparisons takes 1.2 ms of CPU time per request.
+// computes identically without communication. Each further engine would prefill
+// the prefix again, which evicts other prefixes from its cache. Each engine's
+// hash is computed once beforehand: a sort that computes the hashes of 3,000
+// engines in its comparisons takes 1.2 ms of CPU time per request.
 void KeepPreferredEngines(size_t count, std::vector<Candidate>* candidates) {
   if (count >= candidates->size()) return;
   auto end = candidates->begin() + static_cast<std::ptrdiff_t>(count);
@@ -182,7 +183,8 @@
   if (u.reported_at == TimePoint{}) return own;
   Duration age = now - u.reported_at;
   if (age > policy.report_lifetime) return own;
-  // The report, corrected by this process's requests sent and finished since.
+  // The reported load, corrected by the requests that this process has sent or
+  // finished since the report.
   double reported_now =
       std::max<double>(own, u.reported + u.in_flight - u.in_flight_at_report);
   double w = 1.0 - ToSeconds(age) / ToSeconds(policy.report_lifetime);
@@ -240,8 +242,8 @@
   if (use_affinity && request.shared_tokens >= policy.min_affinity_tokens) {
     KeepPreferredEngines(PreferredEngineCount(candidates, policy), &candidates);
   }
-  // A random start breaks ties, so that entries do not all choose the same
-  // upstream.
+  // A random start index breaks ties, so that entries do not all choose the
+  // same upstream.
   size_t n = candidates.size();
   size_t start = static_cast<size_t>(draw * static_cast<double>(n)) % n;
   const Candidate* best = nullptr;
@@ -254,7 +256,8 @@
   // upstream is no substitute.
   if (!best) return std::nullopt;
   if (!use_affinity) return best->index;
-  // Chooses the first preferred engine within affinity_slack of the best score.
+  // Chooses the first preferred engine whose score is within affinity_slack of
+  // the best score.
   const Candidate* preferred = best;
   double max_score = best->score + policy.affinity_slack;
   for (const Candidate& s : candidates) {
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -22,17 +22,18 @@
 // State of one upstream as seen by one entry process.
 struct UpstreamBoard {
   UpstreamInfo info;
-  // Present in the newest upstream list. An unlisted upstream only finishes
-  // its running requests.
+  // Whether the upstream is in the newest upstream list. An unlisted upstream
+  // only finishes its running requests.
   bool listed = true;
-  // The upstream has announced that it is draining, whatever the list says.
+  // The upstream has announced that it is draining. This holds even if the list
+  // does not show it.
   bool said_leaving = false;
-  // Another incarnation answers at the address of this one, so this one has
-  // terminated, whatever the list says.
+  // Another incarnation answers at the address of this upstream, so this
+  // incarnation has terminated, even if it is still listed.
   bool ended = false;
-  int in_flight = 0;  // Requests of this process at the upstream.
-  // Last load report: requests reported, requests of this process in flight
-  // when the report arrived, and time of arrival.
+  int in_flight = 0;  // Number of requests of this process at the upstream.
+  // Last load report: number of requests that it states, number of requests of
+  // this process in flight at its arrival, and time of its arrival.
   int reported = 0;
   int in_flight_at_report = 0;
   TimePoint reported_at{};
@@ -44,23 +45,25 @@
   std::optional<Millis> turn_taken;
   // End of the backoff that the upstream requested from this process.
   TimePoint rest_until{};
-  // The rate limit gives this process no send slot now.
+  // The rate limit currently gives this process no send slot.
   bool no_turn = false;
-  // Number of refused connections and broken answers in a row. Too many of them
-  // eject the upstream until `ejected_until`.
+  // Number of refused connections and broken answers in a row. A sufficient
+  // number ejects the upstream until `ejected_until`.
   int consecutive_failures = 0;
   TimePoint ejected_until{};
-  // Share of answers that were failures, smoothed, and number of answers.
+  // Smoothed share of answers that were failures, and number of answers.
   double failure_share = 0;
   int answer_count = 0;
-  // Last time the upstream sent something, at the earliest the time of the
-  // first request in flight. Unset while no request of this process is there.
+  // Time of the last data from the upstream, or of the first request in flight
+  // if that is later. Unset while the upstream has no request of this process.
   TimePoint quiet_since{};
-  // This process may add no request: its connections or its share of the
-  // engine's slots are used up.
+  // This process may send no further request to the upstream: its connections
+  // or its share of the engine's slots are used up.
   bool full = false;
-  bool reachable = true;  // No link on the path to it is known to be down.
-  // Smoothed gap between events of streams, in seconds, and number of gaps.
+  // No link on the path to the upstream is known to be down.
+  bool reachable = true;
+  // Smoothed gap between events of streams, in seconds, and number of gaps
+  // measured.
   double mean_event_gap_s = 0;
   int event_gap_samples = 0;
   bool straggler = false;  // Far slower than other upstreams of its service.
@@ -69,21 +72,23 @@
   double decode_pace_s = 0;
   // The decode pace is slow compared with other engines of the service.
   bool slow_decode = false;
-  // Long prompts of this process in prefill at the engine, and their limit.
+  // Number of long prompts of this process in prefill at the engine, and the
+  // limit of that number.
   int reading = 0;
   double prefill_limit = 2;
-  // Index in the order of the service's upstreams that is the same in every
-  // entry process, and number of upstreams in that order.
+  // Rank of the upstream among the ranked upstreams of its service, and their
+  // number. The rank is the same in every entry process.
   int rank = 0;
   int ranked_count = 1;
-  // Estimated prompt tokens still to prefill, as of `pending_prefill_at`.
+  // Estimated number of prompt tokens still to prefill, as of
+  // `pending_prefill_at`.
   double pending_prefill_tokens = 0;
   TimePoint pending_prefill_at{};
 };
 
 // The kind of engine work that dominates a request.
 enum class WorkShape {
-  kPlain,    // The upstream is no engine.
+  kPlain,    // Any request to an upstream that is not an engine.
   kPrefill,  // Long prompt, short output.
   kDecode,   // Long generation; concurrent prefills widen its token gaps.
 };
@@ -91,29 +96,31 @@
 // Parameters of placement.
 struct PlacementPolicy {
   // Age at which a load report is ignored. The weight of a report falls with
-  // its age; the rest of the weight goes to this process's own requests.
+  // its age; the remaining weight is given to the number of this process's own
+  // requests.
   Duration report_lifetime = std::chrono::seconds(2);
   // An upstream that holds the prompt's prefix is chosen while its load exceeds
-  // the least loaded one's by at most this share of slots. A repeated prefill
-  // costs more than a few slots in the batch.
+  // that of the least loaded upstream by at most this share of slots. A
+  // repeated prefill costs more than a few slots in the batch.
   double affinity_slack = 0.25;
   // A shared prefix with fewer tokens is prefilled again instead of waiting
   // for an engine that holds it.
   int64_t min_affinity_tokens = 2000;
-  // Preferred engines of one prefix. The second one serves while the first is
-  // saturated.
+  // Number of preferred engines of one prefix. The second engine serves
+  // requests while the first is saturated.
   int preferred_engines = 2;
-  // Preferred engines of one prefix while less than this share of the engines
-  // is saturated: then the prefix is hot and not the whole service.
+  // Number of preferred engines of one prefix while less than hot_busy_share of
+  // the engines is saturated. In that case the prefix is hot, but the service
+  // as a whole is not overloaded.
   int hot_preferred_engines = 4;
   double hot_busy_share = 0.34;
   // A request is a long generation if its expected output is at least this
   // share of its prompt.
   double decode_share = 0.1;
   // Target fill, in shares of slots, of the engines reserved for long
-  // generations. The fill is low because prompts of long generations arrive in
-  // bursts and delay each other's prefill. The high value applies when long
-  // prompts have to wait and every engine is needed.
+  // generations. The low value is used normally, because prompts of long
+  // generations arrive in bursts and delay each other's prefill. The high value
+  // applies when long prompts have to wait and every engine is needed.
   double decode_fill_low_pressure = 0.25;
   double decode_fill_high_pressure = 0.6;
   // At least a third of the engines is reserved for long generations once the
@@ -124,14 +131,15 @@
   double gap_high_share = 0.85;
   double gap_low_share = 0.4;
   double gap_decay_s = 8;
-  // The number of reserved engines changes when it differs from the computed
-  // number by more than this.
+  // The number of reserved engines changes only when it differs from the
+  // computed number by more than this.
   double decode_hysteresis = 0.5;
-  // An engine prefills its prompts one after another, so prompts beyond a few
-  // only queue at the engine, where they can be neither reordered nor rejected.
-  // The limit per engine is multiplied by prefill_backoff when a first event
-  // took longer than prefill_late_share of its latency target, and raised by
-  // prefill_limit_step for each faster one.
+  // Limit of concurrent prefills per engine. An engine prefills its prompts one
+  // after another, so more than a few prompts only queue at the engine, where
+  // they can be neither reordered nor rejected. The limit is multiplied by
+  // prefill_backoff when a first event took longer than prefill_late_share of
+  // its latency target, and raised by prefill_limit_step for each faster first
+  // event.
   double prefill_late_share = 0.5;
   double prefill_backoff = 0.85;
   double prefill_limit_step = 0.1;
@@ -139,7 +147,8 @@
   // Cost, in shares of slots, of an engine reserved for the other work shape.
   // Such an engine is used once the matching ones are busier by this much.
   double shape_mismatch_cost = 0.4;
-  // Weight of the failure share above the average of the service.
+  // Weight of the amount by which the failure share exceeds the average of the
+  // service.
   double failure_weight = 2.0;
   // An upstream with requests in flight that sends nothing for this long is
   // avoided.
@@ -147,28 +156,31 @@
   // Cost, in shares of slots, of an upstream in another data centre. It only
   // breaks ties.
   double remote_cost = 0.01;
-  // Duration of an ejection: the first one, doubled for each further failure in
-  // a row up to the maximum; and failures in a row that cause the first.
+  // Duration of the first ejection, and its maximum: each further failure in a
+  // row doubles the duration. Then the number of failures in a row that cause
+  // the first ejection.
   Duration first_ejection = Millis(500);
   Duration max_ejection = Millis(4000);
   int failures_to_eject = 2;
-  // This process sends an engine no long generation once its own requests there
-  // reach this share of its part of the slots; 0: no limit. After a loss of
+  // Share of this process's part of an engine's slots from which the process
+  // sends the engine no further long generation; 0: no limit. After a loss of
   // engines, the requests of all processes move to the few remaining engines
   // before any load report shows it, and an engine preempts requests beyond its
   // slots.
   double own_generations_share = 0.75;
-  // Above that limit and up to this share, an engine is used only if a report
-  // no older than max_spare_report_age shows a load below spare_load_share.
-  // Entries receive uneven traffic: an entry that has used up its part must not
-  // reject the most urgent requests while others leave their part unused.
+  // Upper bound for an engine with room, in shares of this process's part of
+  // the slots. Between own_generations_share and this bound, an engine is used
+  // only if a report no older than max_spare_report_age shows a load below
+  // spare_load_share. Entries receive uneven traffic: an entry that has used up
+  // its part must not reject the most urgent requests while others leave their
+  // part unused.
   double max_own_generations_share = 2;
   double spare_load_share = 0.75;
   Duration max_spare_report_age = Millis(500);
-  // Services with fewer engines reserve none for a work shape.
+  // Services with fewer engines than this reserve none for a work shape.
   int split_from = 2;
   // Load, in shares of slots, at which an upstream gets no more requests. Above
-  // it the upstream queues requests in its own order.
+  // this load the upstream queues requests in its own order.
   double most_engine_load = 1.0;
   double most_plain_load = 2.0;
   // Part of this process's concurrency limit at an upstream that is reserved
@@ -178,21 +190,21 @@
   // Chooses the first upstream below its load limit (the baseline of
   // comparisons).
   bool blind = false;
-  // An upstream is a straggler if its event gap exceeds the median one's by
-  // this factor. A straggler gets work only when no other upstream can take
-  // it. 0: detection is off.
+  // An upstream is a straggler if its event gap exceeds the median event gap of
+  // its service by this factor. A straggler gets requests only when no other
+  // upstream can take them. 0: detection is off.
   double straggler_factor = 0;
   int min_straggler_samples = 8;
-  // An engine decodes slowly if its decode pace exceeds a fast engine's by this
-  // factor; 0: detection is off. A concurrent prefill makes a long generation
-  // on a slow engine miss its token gap target. A slow engine gets long
-  // generations once the others are busier by slow_decode_cost, in shares of
-  // slots.
+  // An engine decodes slowly if its decode pace exceeds that of a fast engine
+  // by this factor; 0: detection is off. A concurrent prefill makes a long
+  // generation on a slow engine miss its token gap target. A slow engine gets
+  // long generations once the other engines are busier by slow_decode_cost, in
+  // shares of slots.
   double slow_decode_factor = 1.15;
   double slow_decode_cost = 0.3;
   // Assumed prefill rate of an engine, in tokens per millisecond.
   double prefill_rate = 30;
-  // Cost of queued prefill work, in shares of slots per second of it.
+  // Cost of queued prefill work, in shares of slots per second of prefill.
   double prefill_weight = 1.0;
 };
 
@@ -200,12 +212,12 @@
 struct PlacementAsk {
   absl::string_view service;
   uint64_t affinity = 0;      // Hash of the shared prompt prefix; 0: none.
-  int64_t shared_tokens = 0;  // Tokens of the shared prompt prefix.
+  int64_t shared_tokens = 0;  // Number of tokens of the shared prompt prefix.
   absl::string_view data_centre;
   absl::Span<const std::string> avoid;  // Ids of upstreams already tried.
-  double most_load = 1.0;  // Upstreams with this load per slot are busy.
-  // Not 0: only the upstream selected by this hash may take the request, since
-  // it holds the state of earlier attempts.
+  double most_load = 1.0;  // Load per slot from which an upstream is busy.
+  // Not 0: only the upstream selected by this hash may take the request,
+  // because that upstream holds the state of earlier attempts.
   uint64_t pinned = 0;
   WorkShape shape = WorkShape::kPlain;
   // Number of engines reserved for long generations: those of lowest rank.
@@ -214,9 +226,10 @@
 
 // Smoothed demand on the engines of one service.
 struct DecodeDemand {
-  double in_flight = 0;  // Long generations in flight.
+  double in_flight = 0;  // Number of long generations in flight.
   double pressure = 0;   // Share of time in which long prompts had to wait.
-  // Longest recent token gap, in shares of its target, as of `recent_gap_at`.
+  // Longest recent token gap, in shares of its target, at the time
+  // `recent_gap_at`.
   double recent_gap_share = 0;
   TimePoint recent_gap_at{};
   bool gaps_near_target = false;  // Recent token gaps are close to the target.
@@ -237,14 +250,14 @@
                DecodeDemand* demand);
 
 // Returns how many of `engines` engines to reserve for long generations: a
-// sixth to a half of them, at least a third while token gaps are near their
-// target, and none if there are fewer than split_from. `current`: the number so
-// far.
+// sixth to a half of them, and at least a third while token gaps are near their
+// target. Returns 0 if there are fewer than split_from engines. `current`: the
+// number reserved so far.
 int DecodeEngines(const DecodeDemand& demand, int current, int slots,
                   int engines, const PlacementPolicy& policy);
 
-// Returns the number of this process's requests at an engine of `slots` slots
-// from which the engine gets no more long generations. `serving`: number of
+// Returns the number of this process's requests at which an engine of `slots`
+// slots gets no more long generations from this process. `serving`: number of
 // processes that share the engine.
 int OwnGenerationLimit(int slots, int serving, const PlacementPolicy& policy);
 // Returns whether `u` may get another long generation, judged by
@@ -267,35 +280,37 @@
 double EstimatedLoad(const UpstreamBoard& u, TimePoint now,
                      const PlacementPolicy& policy);
 
-// Returns whether `u` may get new work at all.
+// Returns whether `u` may get new requests at all.
 bool Usable(const UpstreamBoard& u, TimePoint now,
             const PlacementPolicy& policy);
 
 // Returns the index of the upstream for `request`, or nullopt when no upstream
-// may take it. Ejected or silent upstreams are used only when no other is left,
-// in the order of their ends of ejection. `draw`: a random number in [0, 1).
+// may take it. Ejected or silent upstreams are used only when no other upstream
+// is left; the one whose ejection ends first is used first. `draw`: a random
+// number in [0, 1).
 std::optional<size_t> Place(absl::Span<const UpstreamBoard> upstreams,
                             const PlacementAsk& request, TimePoint now,
                             double draw, const PlacementPolicy& policy);
 
-// Upstreams of a service by the reason why they don't take a request now. Each
-// upstream is counted once.
+// Number of upstreams of a service by the reason why they cannot take a request
+// now. Each upstream is counted under one reason.
 struct NoPlaceCounts {
-  int upstreams = 0;  // All that are listed and not draining.
+  int upstreams = 0;  // All upstreams that are listed and not draining.
   int unusable = 0;   // Tried, ejected, silent, terminated or unreachable.
-  int full = 0;       // This process used up its requests or connections.
-  int resting = 0;    // The upstream requested backoff.
+  int full = 0;       // This process used up its slots or connections there.
+  int resting = 0;    // The upstream requested a backoff.
   int limited = 0;    // The rate limit gives this process no send slot now.
-  int loaded = 0;     // The estimated load is at the limit.
-  int reading = 0;    // Prefills of this process are at the limit.
-  int free = 0;       // Has room, but is no preferred engine of the prefix.
+  int loaded = 0;     // The estimated load is at the load limit.
+  int reading = 0;    // Prefills of this process are at the prefill limit.
+  int free = 0;       // Has room, but is not a preferred engine of the prefix.
 };
 NoPlaceCounts CountNoPlace(absl::Span<const UpstreamBoard> upstreams,
                            const PlacementAsk& request, TimePoint now,
                            const PlacementPolicy& policy);
 
-// Returns the time until the first upstream of `service` ends its requested
-// backoff. Zero if a listed upstream that is not draining requests none.
+// Returns the shortest time until a requested backoff of an upstream of
+// `service` ends. Returns zero if any listed upstream that is not draining has
+// no backoff in force.
 Duration RestLeft(absl::Span<const UpstreamBoard> upstreams,
                   absl::string_view service, TimePoint now);
 
--- a/src/policy/quarantine.cc
+++ b/src/policy/quarantine.cc
@@ -18,7 +18,7 @@
 
 bool IsOlder(const Crash& a, const Crash& b) { return a.at < b.at; }
 
-// Returns the crashes that count against the request, oldest first.
+// Returns the crashes of `r` that are not cleared, oldest first.
 std::vector<Crash> UnclearedCrashes(const CrashRecord& r) {
   std::vector<Crash> out;
   for (const Crash& c : r.crashes) {
@@ -89,7 +89,7 @@
                      std::make_pair(a.uncleared.size(), b.record->asks);
             });
   std::vector<RequestPrint> out;
-  // Upstreams whose crash an earlier request in `out` explains.
+  // Upstreams whose crash is explained by an earlier request in `out`.
   std::set<uint64_t> explained;
   for (const Candidate& candidate : candidates) {
     std::vector<Crash> unexplained;
@@ -98,12 +98,12 @@
     }
     int n = CountSeparateCrashes(unexplained, policy);
     if (n < policy.min_crashes) continue;
-    // Of the unexplained crashes, those at which the request had just started.
+    // The unexplained crashes at which the request had just started.
     std::vector<Crash> crashes_at_start;
     std::copy_if(unexplained.begin(), unexplained.end(),
                  std::back_inserter(crashes_at_start),
                  [](const Crash& c) { return c.just_begun; });
-    // Another request was in flight at all the same crashes.
+    // Whether another request was in flight at all unexplained crashes.
     bool inseparable = std::any_of(
         candidates.begin(), candidates.end(), [&](const Candidate& other) {
           return other.record != candidate.record &&
--- a/src/policy/quarantine.h
+++ b/src/policy/quarantine.h
@@ -33,10 +33,11 @@
   uint64_t upstream = 0;  // Hash of the upstream's id.
   TimePoint sent_at{};    // When the request was sent to the upstream.
   TimePoint at{};         // When the upstream terminated.
-  // The request had only just started on the upstream, as far as known.
+  // The request had just started on the upstream, as far as known.
   bool just_begun = false;
-  // The request did not cause this crash: it was served later, or another
-  // upstream that did not have the request terminated at the same moment.
+  // The request did not cause this crash. Either it was served later, or
+  // another upstream that did not have the request terminated at the same
+  // moment.
   bool cleared = false;
 };
 
@@ -47,29 +48,29 @@
 };
 
 struct QuarantinePolicy {
-  // Crashes that quarantine a request when the cause is clear.
+  // Number of crashes that quarantine a request when the cause is clear.
   int min_crashes = 3;
-  // Crashes that quarantine a request when the cause is ambiguous. The cause is
-  // ambiguous if another request was in flight at all the same crashes: a
-  // single crash with only one of the two resolves it. It is also ambiguous if
-  // the request had not just started each time: most co-located requests had
-  // not.
+  // Number of crashes that quarantine a request when the cause is ambiguous.
+  // The cause is ambiguous if another request was in flight at all the same
+  // crashes; a single crash with only one of the two requests resolves this.
+  // The cause is also ambiguous if the request had not just started at each
+  // crash, as most co-located requests had not.
   int min_crashes_if_ambiguous = 5;
   // A crash counts separately only if the request was sent to that upstream
-  // after the previous crash, within this tolerance for differing clocks: a
-  // power loss terminates many upstreams at once, whatever they run.
+  // after the previous crash: a power loss terminates many upstreams at once,
+  // whatever they run. This tolerance covers the difference between clocks.
   Duration clock_tolerance = Millis(5);
   // Terminations closer together than this have a common cause. A request that
-  // was moved away from the first upstream may have been in transit to the
-  // second.
+  // was moved away from the first upstream after its termination may still have
+  // been in transit to the second when that one terminated.
   Duration common_cause_interval = Millis(20);
   // How long a record is kept after its last crash.
   Duration retention = std::chrono::hours(1);
   size_t max_records = 4096;
-  // Records published to all processes: those of quarantined requests, then
-  // those with the most recent crashes.
+  // Maximum number of records published to all processes. Records of
+  // quarantined requests come first, then those with the most recent crashes.
   size_t max_published_records = 256;
-  // Crashes kept in one record: the most recent ones.
+  // Maximum number of crashes kept in one record: the most recent ones.
   size_t max_crashes_per_record = 16;
 };
 
@@ -91,11 +92,11 @@
                  Crash crash);
   // Records that the request was served, which clears all its crashes so far.
   void NoteServed(RequestPrint fingerprint);
-  // Merges records that other processes report to this one. They are forwarded:
-  // ChangedSince returns them.
+  // Merges records that other processes report to this one. These records are
+  // forwarded: ChangedSince returns them.
   void TakeReported(absl::Span<const CrashRecord> records);
-  // Merges records published by the process that this one reports to. They are
-  // not reported back.
+  // Merges records published by the process to which this one reports. They are
+  // not reported back to it.
   void TakeTold(absl::Span<const CrashRecord> records);
   // Drops expired records. Call regularly.
   void Tick(TimePoint now);
@@ -106,15 +107,17 @@
   }
   // Returns the time from `now` until the request's record expires.
   Duration RefusedFor(RequestPrint fingerprint, TimePoint now) const;
-  // Grows whenever a request enters or leaves the quarantine.
+  // Returns a counter that increases whenever a request enters or leaves the
+  // quarantine.
   uint64_t verdicts() const { return quarantine_changes_; }
   // Returns the number of quarantined requests.
   size_t refused() const { return quarantined_.size(); }
 
-  // Returns the sequence number of the last change recorded or reported here.
+  // Returns the sequence number of the last change that this process recorded
+  // or that another process reported to it.
   uint64_t seq() const { return seq_; }
-  // Returns at most `max_records` records that changed here after `seq`, the
-  // latest changes first.
+  // Returns at most `max_records` records that were recorded here or reported
+  // to this process after `seq`, the latest changes first.
   std::vector<CrashRecord> ChangedSince(uint64_t seq, size_t max_records) const;
   // Returns the records to publish to all processes: those with more than one
   // crash, sorted by fingerprint.
@@ -127,16 +130,16 @@
     CrashRecord record;
     uint64_t seq = 0;
   };
-  // Merges `r`; returns whether it held anything new. `forward`: the change is
-  // reported onward.
+  // Merges `r`. Returns whether `r` contained anything new. `forward`: whether
+  // ChangedSince returns the change, so that it is reported onward.
   bool MergeRecord(const CrashRecord& r, bool forward);
   void RecordTermination(const Crash& c);
   // Clears each crash of `r` that coincides with the termination of an upstream
   // that did not have the request.
   void ClearCoincidentCrashes(CrashRecord& r) const;
   void MergeRecords(absl::Span<const CrashRecord> records, bool forward);
-  // Evicts records above the limit: those with the fewest crashes first, and
-  // among these the ones with the oldest last crash.
+  // Evicts records in excess of max_records: those with the fewest crashes
+  // first, and among these the ones with the oldest last crash.
   void EvictExcessRecords();
   // Recomputes the set of quarantined requests and the published version.
   void UpdateQuarantine();
@@ -146,9 +149,10 @@
 
   QuarantinePolicy policy_;
   std::unordered_map<RequestPrint, Entry> entries_;
-  // By upstream hash: when it terminated, as first reported.
+  // First reported termination time of each upstream, by upstream hash.
   std::map<uint64_t, TimePoint> terminated_at_;
-  std::multimap<TimePoint, uint64_t> terminations_;  // Upstream hashes by time.
+  // Upstream hashes by termination time.
+  std::multimap<TimePoint, uint64_t> terminations_;
   std::set<RequestPrint> quarantined_;
   uint64_t quarantine_changes_ = 0;
   uint64_t seq_ = 0;
--- a/src/policy/reading_gate.h
+++ b/src/policy/reading_gate.h
@@ -1,12 +1,13 @@
-// Limits the long prompts that one entry process has in prefill at all engines
-// of a service together.
+// Limits the number of long prompts that one entry process has in prefill at
+// all engines of a service together.
 //
-// Load pattern: more long prompts than the engines can prefill, of several
-// tiers, from many entries. Each entry uses a single engine too seldom to learn
-// a limit for it. Prompts beyond the capacity of the engines queue there in
-// order of arrival, where they can be neither ordered by tier nor rejected. The
-// limit follows the first events of all engines together: each late one lowers
-// it, and each timely one raises it while the limit is reached.
+// Load pattern: many entries send more long prompts, of several tiers, than the
+// engines can prefill. Each entry uses a single engine too seldom to learn a
+// limit for that engine. Prompts beyond the capacity of the engines queue there
+// in order of arrival, where they can be neither ordered by tier nor rejected.
+// Therefore the limit follows the first events of all engines together: each
+// late first event lowers it, and each timely one raises it while the number of
+// prompts is at the limit.
 #ifndef MEDLARWALK_READING_GATE_H_
 #define MEDLARWALK_READING_GATE_H_
 
@@ -19,22 +20,24 @@
 
 // Parameters of the prefill limit.
 struct ReadingGatePolicy {
-  double start = 16;  // Initial limit.
-  // Lower bound of the limit: an entry that sends nothing learns nothing.
+  double start = 16;  // Initial limit, in prompts.
+  // Lower bound of the limit, in prompts. It is above 0 because an entry that
+  // sends no prompts cannot observe any first events.
   double least = 2;
-  double most = 512;  // Upper bound of the limit.
+  double most = 512;  // Upper bound of the limit, in prompts.
   // A first event is late if it took more than this share of its latency
   // target. An engine that always has a prompt to prefill adds a chunk of it to
-  // every step: tokens then take ten times as long, and streams reach their
-  // deadline.
+  // every decoding step. Each token then takes ten times as long, and streams
+  // exceed their deadline.
   double late_share = 0.3;
-  // Factor that lowers the limit at each late first event.
+  // Factor by which each late first event multiplies the limit.
   double backoff_factor = 0.97;
-  // Step that raises the limit at each timely first event while it is reached.
+  // Step by which each timely first event raises the limit, while the number of
+  // prompts in flight is at the limit.
   double limit_step = 0.2;
-  // Factor of the limit for prompts more urgent than the least urgent tier seen
-  // so far. At the limit only the least urgent prompts wait, instead of all
-  // alike.
+  // Factor that raises the limit for prompts more urgent than the least urgent
+  // tier seen so far. At the limit only prompts of the least urgent tier wait,
+  // instead of the prompts of all tiers.
   double urgent_headroom = 2;
 };
 
@@ -61,9 +64,11 @@
   }
   // Records that a prompt of `tier` was sent.
   void Sent(Tier tier) { ++in_flight_[tier]; }
-  // Records that a prefill of `tier` or its request ended.
+  // Records that the prefill of a prompt of `tier` ended, or that its request
+  // ended.
   void Ended(Tier tier) { --in_flight_[tier]; }
-  // Records a first event that came `took` after its prompt was sent.
+  // Records a first event that came `took` after its prompt was sent; `target`:
+  // its latency target.
   void NoteFirstEvent(Duration took, Duration target) {
     double share = ToSeconds(took) / std::max(1e-3, ToSeconds(target));
     if (share > policy_.late_share) {
--- a/src/policy/retry_budget.h
+++ b/src/policy/retry_budget.h
@@ -1,5 +1,6 @@
 // Limits the retries that this process sends to a service. All processes share
-// one allowance; each keeps to its part of it without communication.
+// one allowance, and each process uses only its part of the allowance, without
+// communication.
 #ifndef MEDLARWALK_RETRY_BUDGET_H_
 #define MEDLARWALK_RETRY_BUDGET_H_
 
@@ -11,13 +12,14 @@
 
 // Retry allowance of all processes together.
 struct RetryAllowance {
-  double ratio = 0.2;  // Retries per first attempt.
+  double ratio = 0.2;  // Retries allowed per first attempt.
   Duration window = std::chrono::seconds(10);
-  double slack = 20;  // Further retries per window.
+  double slack = 20;  // Further retries allowed per window.
 };
 
-// Share of the allowance that processes hand out. Their windows are not
-// aligned, so handing out all of it could exceed the allowance in some window.
+// Share of the allowance that is divided among the processes. The windows of
+// the processes are not aligned, so dividing all of it could exceed the
+// allowance in some window.
 inline constexpr double kBudgetUse = 0.6;
 
 // Token bucket of one service. Thread safety: loop thread only.
@@ -30,8 +32,8 @@
   // Consumes one retry. Returns false if none is left. `serving`: number of
   // processes that share the allowance.
   bool Take(const RetryAllowance& a, int serving, TimePoint now) {
-    // Half of the slack may be spent at once; the same amount refills per
-    // window.
+    // Half of the slack may be spent at once; the same number of retries
+    // refills per window.
     double capacity =
         std::max(1.0, a.slack * kBudgetUse / 2 / std::max(1, serving));
     if (!initialized_) {
--- a/src/policy/routing_config.cc
+++ b/src/policy/routing_config.cc
@@ -12,7 +12,8 @@
 
 // Number of distinct account tiers within one route tier.
 constexpr int kNumAccountTiers = 8;
-// Far above any tier in use; keeps ranks within an int.
+// Upper bound of tiers: far above any tier in use, and low enough that ranks
+// fit in an int.
 constexpr Tier kMaxTier = 1'000'000;
 // Number of priorities that engines distinguish.
 constexpr int kNumEnginePriorities = 10;
@@ -95,7 +96,8 @@
   for (size_t i = 0; i < c->routes.size(); ++i) {
     c->routes_of_host[absl::AsciiStrToLower(c->routes[i].host)].push_back(i);
   }
-  // Sorts by descending prefix length, so that the first match is the longest.
+  // Sorts by descending length of the path prefix, so that the first match is
+  // the longest.
   for (auto& [host, route_indexes] : c->routes_of_host) {
     std::stable_sort(route_indexes.begin(), route_indexes.end(),
                      [&](size_t a, size_t b) {
--- a/src/policy/routing_config.h
+++ b/src/policy/routing_config.h
@@ -16,14 +16,15 @@
 
 namespace medlarwalk {
 
-// Whether the requests of a route may be repeated.
+// Whether the requests of a route may run more than once.
 enum class RequestKind {
   kRepeatable,  // A request may run more than once.
   kOnce,        // A request runs at most once per caller attempt.
   kStream,      // Event stream; runs at most once unless resumable.
 };
 
-// A service of a route, with its share of the requests.
+// A service of a route, with the weight that determines its share of the
+// requests.
 struct WeightedService {
   std::string service;
   double weight = 1;
@@ -35,32 +36,34 @@
   std::string host;
   std::string path_prefix;  // Begins and ends with a slash.
   RequestKind kind = RequestKind::kOnce;
-  Duration timeout{};         // Until the final answer.
-  Duration latency_target{};  // Streams: until the first event.
-  Duration pause_target{};    // Streams: longest gap between events.
+  Duration timeout{};         // Time until the final answer.
+  Duration latency_target{};  // For streams: time until the first event.
+  Duration pause_target{};    // For streams: longest gap between events.
   Tier tier = 0;
   std::vector<WeightedService> services;
-  int max_attempts = 1;    // Sends to upstreams per caller attempt.
+  // Maximum number of sends to upstreams per caller attempt.
+  int max_attempts = 1;
   bool anonymous = false;  // No client account is required.
   bool resumable = false;  // A stream may continue on another upstream.
-  std::string label;       // Class in the metrics; empty: the tier.
+  std::string label;       // Class label in the metrics; empty: the tier.
 };
 
 // Limits of the model engines of a service.
 struct EngineLimits {
-  int slots = 1;  // Requests that run at the same time.
+  int slots = 1;  // Number of requests that run at the same time.
 };
 
 struct ServiceRule {
   std::string name;
-  int max_connections = 0;  // To one upstream, from all processes.
+  int max_connections = 0;  // Connections to one upstream from all processes.
   std::optional<EngineLimits> engine;
 };
 
 struct AccountRule {
   std::string name;
   std::vector<std::string> keys;
-  std::optional<Tier> tier;  // Among accounts; unset: the route's tier.
+  // Tier among accounts; unset: the tier of the route.
+  std::optional<Tier> tier;
 };
 
 struct RoutingConfig {
@@ -69,7 +72,7 @@
   std::map<std::string, ServiceRule> services;
   std::vector<AccountRule> accounts;
   CallerLimits limits;
-  // Derived by IndexConfig.
+  // Lookup tables derived by IndexConfig.
   std::unordered_map<std::string, size_t> account_of_key;
   std::unordered_map<std::string, std::vector<size_t>> routes_of_host;
   std::map<Tier, int> engine_priority;  // Engine priority by request rank.
@@ -103,7 +106,8 @@
 // IndexConfig has run.
 int EnginePriority(const RoutingConfig& c, Tier rank);
 
-// Picks a service of the route by weight; `draw` is uniform in [0, 1).
+// Chooses a service of the route at random by weight; `draw` is uniform in [0,
+// 1).
 const std::string& PickService(const RouteRule& r, double draw);
 
 }  // namespace medlarwalk
--- a/src/policy/tier_guard.h
+++ b/src/policy/tier_guard.h
@@ -1,11 +1,11 @@
 // Decides which tiers of a service may start requests.
 //
-// Load pattern: more work of all tiers at once than the engines can do. Each
-// entry rejects its more urgent requests after a short wait, and the slot that
-// becomes free a moment later goes to a less urgent request that may wait
-// longer: in a burst of six times the traffic 74% of a tier are rejected while
-// one slot in ten goes to the tier below it. Therefore tiers less urgent than
-// one with rejections wait until those rejections end.
+// Load pattern: more requests of all tiers at once than the engines can serve.
+// Each entry rejects its more urgent requests after a short wait, and the slot
+// that becomes free a moment later goes to a less urgent request that may wait
+// longer. In a burst of six times the traffic, 74% of a tier are rejected while
+// one slot in ten goes to the tier below it. Therefore, while a tier has
+// rejections, all less urgent tiers wait.
 #ifndef MEDLARWALK_TIER_GUARD_H_
 #define MEDLARWALK_TIER_GUARD_H_
 
@@ -18,15 +18,16 @@
 // Parameters of admission by tier.
 struct TierGuardPolicy {
   // A tier counts as rejected while at least this share of its requests finds
-  // no slot. A single rejection blocks nobody for long.
+  // no slot. A single rejection blocks other tiers only briefly.
   double min_rejected_share = 0.02;
-  // The share is smoothed over this number of requests of the tier, so that
-  // entries with few and with many requests per second judge alike, and decays
-  // with this time constant, so that it fades when no more requests come.
+  // The share is smoothed over smoothing_requests requests of the tier, so that
+  // entries with few and with many requests per second judge alike. It decays
+  // with the time constant decay_s, so that it fades when the tier gets no more
+  // requests.
   double smoothing_requests = 30;
   double decay_s = 1.5;
-  // Upper bound of the rejected share. It lets blocked tiers continue within
-  // three seconds after the last rejection.
+  // Upper bound of the rejected share. With this bound, blocked tiers continue
+  // within three seconds after the last rejection.
   double max_rejected_share = 0.12;
 };
 
@@ -53,7 +54,7 @@
     TimePoint at{};
   };
   void RecordOutcome(Tier tier, bool rejected, TimePoint now);
-  // Returns the decayed share at `now`.
+  // Returns the rejected share `s` decayed to the time `now`.
   double CurrentShare(const RejectedShare& s, TimePoint now) const;
 
   TierGuardPolicy policy_;
--- a/src/policy/upstream_list.cc
+++ b/src/policy/upstream_list.cc
@@ -66,8 +66,8 @@
     if (seen.insert(id).second) drop(id);
   }
   for (const UpstreamInfo& u : c.changed) {
-    // A valid change contains no id twice: returns a digest that matches no
-    // version.
+    // A valid change contains no id twice. For an invalid change, returns a
+    // digest that matches no version.
     if (!seen.insert(u.id).second) return {~digest_.sum, 0};
     drop(u.id);
     t.sum += HashOf(u);
@@ -137,7 +137,7 @@
 void ListHistory::RecordChange(const ListChange& change) {
   encoded_.clear();
   if (change.from == 0) {
-    // No kept change leads from an earlier version to a list received whole.
+    // The list was received in full, so the kept changes do not lead to it.
     steps_.clear();
     step_entries_ = 0;
     return;
@@ -155,8 +155,8 @@
   }
 }
 
-// Returns the latest kept change made to the list of version `held_version`, or
-// the end.
+// Returns the latest kept change that was made to the list of version
+// `held_version`, or the end iterator if there is none.
 std::deque<ListHistory::Step>::const_iterator ListHistory::FindStepFrom(
     int64_t held_version) const {
   auto it = std::find_if(steps_.rbegin(), steps_.rend(),
--- a/src/policy/upstream_list.h
+++ b/src/policy/upstream_list.h
@@ -2,12 +2,12 @@
 // the differences by which it is distributed.
 //
 // Load pattern: thousands of upstreams, of which a few change every second, and
-// hundreds of processes that need the list. Sending the whole list of 3,000
+// hundreds of processes that need the list. Sending the full list of 3,000
 // upstreams at each change costs the busiest sender 2.7 MB/s; the cost of
-// differences grows only with the changes. A process that applies a difference
-// to the wrong base list would route by a list that never existed, permanently
-// and unnoticed. Therefore the version is a hash of the contents, and the
-// result of every applied difference is checked against it.
+// differences grows only with the number of changes. A process that applies a
+// difference to the wrong base list would route by a list that never existed,
+// permanently and unnoticed. Therefore the version is a hash of the contents,
+// and the result of every applied difference is checked against it.
 #ifndef MEDLARWALK_UPSTREAM_LIST_H_
 #define MEDLARWALK_UPSTREAM_LIST_H_
 
@@ -29,13 +29,13 @@
 
 // One running incarnation of an upstream.
 struct UpstreamInfo {
-  std::string id;    // Usually new at each start.
-  int64_t born = 0;  // Start time, Unix milliseconds; 0: unknown.
+  std::string id;    // Id of the incarnation, usually new at each start.
+  int64_t born = 0;  // Start time in Unix milliseconds; 0: unknown.
   std::string service;
   Endpoint address;
   std::string data_centre;
-  bool leaving = false;  // Draining: takes no new requests.
-  int slots = 1;         // Requests that it runs at once.
+  bool leaving = false;  // The upstream is draining and takes no new requests.
+  int slots = 1;         // Number of requests that it runs at once.
 };
 
 // Returns whether `fresh` is a later start of the upstream that was known as
@@ -47,7 +47,8 @@
 
 // A difference between two versions of the list.
 struct ListChange {
-  // Version of the base list; 0: none, `changed` is the whole list.
+  // Version of the base list. 0: there is no base list, and `changed` contains
+  // the full list.
   int64_t from = 0;
   int64_t to = 0;                     // Version of the resulting list.
   std::vector<UpstreamInfo> changed;  // Changed and added upstreams.
@@ -59,20 +60,21 @@
 // whatever the order of updates. Thread safety: none.
 class UpstreamList {
  public:
-  // Returns 0 before the first update.
+  // Returns the version of the list; 0 before the first update.
   int64_t version() const { return version_; }
   size_t size() const { return upstreams_.size(); }
-  // Returns the upstream of that id, or nullptr.
+  // Returns the upstream with this id, or nullptr.
   const UpstreamInfo* Find(const std::string& id) const;
   // Returns all upstreams, sorted by id.
   std::vector<UpstreamInfo> All() const;
 
-  // Replaces the contents and returns the difference. Of two entries with one
-  // id, the later start wins; of equal starts, the last entry.
+  // Replaces the contents and returns the difference. Of two upstreams with the
+  // same id the one that started later is kept, and if they started at the same
+  // time the last one in `full_list`.
   ListChange Replace(std::vector<UpstreamInfo> full_list);
   // Applies a difference made by another process. Returns false and changes
-  // nothing if the difference is for another base list or its result has
-  // another version than stated.
+  // nothing if the difference is for another base list or if its result does
+  // not have the stated version.
   bool Apply(const ListChange& change);
 
  private:
@@ -80,7 +82,7 @@
     UpstreamInfo info;
     uint64_t hash = 0;
   };
-  // Sum of the hashes of all entries, and their number.
+  // Sum of the hashes of all entries, and number of entries.
   struct Digest {
     uint64_t sum = 0;
     size_t entry_count = 0;
@@ -94,14 +96,15 @@
   int64_t version_ = 0;
 };
 
-// The newest list and the recent changes that led to it, from which holders of
-// an earlier version get a difference. Thread safety: none.
+// The newest list and the recent changes that led to it. Processes that hold an
+// earlier version get a difference made from these changes. Thread safety:
+// none.
 class ListHistory {
  public:
   using Encode = std::function<Document(const ListChange&)>;
 
-  // Keeps the changes of up to `max_entries` upstreams, or of half of the list
-  // if that is more. `encode`: encodes a change for sending.
+  // `max_entries`: changes of up to this number of upstreams are kept, or of
+  // half of the list if that is more. `encode`: encodes a change for sending.
   ListHistory(size_t max_entries, Encode encode)
       : max_entries_(max_entries), encode_(std::move(encode)) {}
 
@@ -109,8 +112,8 @@
   int64_t version() const { return list_.version(); }
   // Replaces the list. Returns whether anything changed.
   bool Replace(std::vector<UpstreamInfo> full_list);
-  // Applies a difference made by another process. Returns false if it does not
-  // fit the list.
+  // Applies a difference made by another process. Returns false if the
+  // difference does not apply to the list held.
   bool Apply(const ListChange& change);
 
   // Returns whether the changes since the version `held_version` are still
@@ -119,16 +122,16 @@
     return FindStepFrom(held_version) != steps_.end();
   }
   // Returns the difference from the version `held_version` to the newest list,
-  // or the whole list if the changes since then are not kept.
+  // or the full list if the changes since that version are not kept.
   ListChange Since(int64_t held_version) const;
-  // Returns Since(held_version) encoded, cached for all holders of that
-  // version. Precondition: held_version != version().
+  // Returns Since(held_version) in encoded form, cached for all processes that
+  // hold this version. Precondition: held_version != version().
   Document EncodedSince(int64_t held_version);
 
  private:
   struct Step {
     int64_t from = 0;
-    std::vector<std::string> ids;  // Changed or removed upstreams.
+    std::vector<std::string> ids;  // Ids of changed or removed upstreams.
   };
   void RecordChange(const ListChange& change);
   std::deque<Step>::const_iterator FindStepFrom(int64_t held_version) const;
@@ -136,9 +139,9 @@
   size_t max_entries_;
   Encode encode_;
   UpstreamList list_;
-  std::deque<Step> steps_;   // Oldest first; the last results in list_.
+  std::deque<Step> steps_;   // Oldest first; the last step results in list_.
   size_t step_entries_ = 0;  // Total number of ids in steps_.
-  // Encoded differences by the version they start from; 0: the whole list.
+  // Encoded differences by the version of their base list; 0: the full list.
   std::unordered_map<int64_t, Document> encoded_;
 };
 
--- a/src/policy/waiting.h
+++ b/src/policy/waiting.h
@@ -21,32 +21,32 @@
 struct WaitingPolicy {
   // Maximum wait for a slot, in shares of the latency target of the request. In
   // overload every served request has waited this long, which leaves the engine
-  // less time. A caller that is rejected early has most of its target left for
-  // another entry.
+  // less time. A small share is better: a caller that is rejected early has
+  // most of its target left for another entry.
   double most_target_share = 0.1;
   // Maximum number of waiting requests of one service.
   size_t most_waiting = 256;
-  // Serves the most urgent tier first. If false, first come, first served.
+  // Serves the highest tier first. If false, serves requests in order of
+  // arrival.
   bool tiered = true;
   // Rejects a request on arrival if the recent rate of dispatches shows that it
   // would not get a slot in time.
   bool refuse_unmeetable = false;
   // A request starves once it has waited for starvation_bound or for
   // starving_share of its maximum wait. While any request starves, one slot in
-  // floor_every goes to the starving one with the earliest deadline, regardless
-  // of its tier: higher tiers lose at most 1 / floor_every of the slots to
-  // starving requests. starvation_bound zero: no request starves.
+  // floor_every goes to the starving request with the earliest deadline,
+  // regardless of its tier. Higher tiers thus lose at most 1 / floor_every of
+  // the slots to starving requests. starvation_bound zero: no request starves.
   Duration starvation_bound{};
   double starving_share = 0.5;
   int floor_every = 8;
 };
 
-// A waiting request.
 struct WaitingRequest {
   uint64_t seq = 0;
   Tier tier = 0;
-  TimePoint since{};  // Start of the wait.
-  TimePoint until{};  // Rejected if still waiting then.
+  TimePoint since{};  // When the wait began.
+  TimePoint until{};  // When the request is rejected if it still waits.
   std::string service;
 };
 
@@ -58,12 +58,13 @@
  public:
   explicit WaitingRoom(WaitingPolicy policy) : policy_(policy) {}
 
-  // Adds `w` to the queue of its service. `*shed` gets the request removed to
-  // make room for it, if any. Errors: kOverloaded when the queue is full of
-  // requests of the same or a more urgent tier, kTargetUnmeetable.
+  // Adds `w` to the queue of its service. Sets `*shed` to the request removed
+  // to make room for `w`, if any. Errors: kOverloaded when the queue is full of
+  // requests of the same or a more urgent tier; kTargetUnmeetable when `w`
+  // would not get a slot in time.
   absl::Status Enter(WaitingRequest w, std::optional<uint64_t>* shed);
-  // Removes a request that got a slot, and counts the slots that go to others
-  // while a request starves.
+  // Removes a request that got a slot. If a request starves, also counts the
+  // slots that other requests got.
   void Served(uint64_t seq, TimePoint now);
   // Removes a request that got no slot.
   void Leave(uint64_t seq);
@@ -83,8 +84,9 @@
 
  private:
   struct ServiceQueue {
-    std::deque<WaitingRequest> waiting;  // In serving order without starvation.
-    // Slots given to others since the last one for a starving request.
+    std::deque<WaitingRequest> waiting;  // Serving order, ignoring starvation.
+    // Number of slots given to other requests since the last slot for a
+    // starving one.
     int dispatches_since_floor = 0;
     // Smoothed number of dispatches per second; 0 before the second dispatch.
     double dispatch_rate = 0;
--- a/test/base/errors_test.cc
+++ b/test/base/errors_test.cc
@@ -6,8 +6,9 @@
 
 TEST_GROUP(errors){};
 
-// Guards against two kinds with the same code. The HTTP/2 link carries a kind
-// as its code in a header, and the receiver must decode the same kind.
+// Guards against two error kinds with the same code. The HTTP/2 link carries an
+// error kind as its code in a header, and the receiver decodes the kind from
+// the code.
 TEST(errors, EveryKindRoundTripsThroughItsCode) {
   for (int i = 0; i < kErrorKindCount; ++i) {
     auto kind = static_cast<ErrorKind>(i);
--- a/test/base/log_test.cc
+++ b/test/base/log_test.cc
@@ -1,4 +1,4 @@
-// The rate limit of the log.
+// Tests of the rate limit of the log.
 #include "CppUTest/TestHarness.h"
 #include "log_gate.h"
 
@@ -7,9 +7,9 @@
 TEST_GROUP(log){};
 
 // Guards against a burst of log events that takes CPU time from requests, and
-// against a stalled reader of the log that blocks the process. Lines over the
-// limit, or while the reader does not keep up, are dropped and counted; the
-// count is reported once.
+// against a stalled reader of the log that blocks the process. Lines are
+// dropped when they exceed the rate limit or when the reader does not keep up.
+// The number of dropped lines is reported once.
 TEST(log, LimitsLinesAndCountsDroppedLines) {
   TimePoint now(std::chrono::hours(1));
   LogRateLimiter log_rate_limiter(100, 10);
--- a/test/base/packed_test.cc
+++ b/test/base/packed_test.cc
@@ -1,4 +1,5 @@
-// Compression of documents: Unpack returns the original text or an error.
+// Tests of the compression of documents: Unpack returns the original text or an
+// error.
 #include "packed.h"
 
 #include "CppUTest/TestHarness.h"
@@ -8,7 +9,8 @@
 
 namespace {
 
-// Returns a document of `routes` routes that differ as those of an operator do.
+// Returns a document of `routes` routes that differ as much as an operator's
+// routes do.
 std::string RoutesDocument(int routes) {
   std::string out = R"({"version":7,"routes":[)";
   for (int i = 0; i < routes; ++i) {
@@ -33,22 +35,22 @@
   CHECK_TRUE(Unpack(*Pack(""), 10)->empty());
 }
 
-// Guards against slow delivery: a configuration with 3,000 more routes occupied
-// the link of each entry for half a second.
+// Guards against slow delivery of a large configuration: one with 3,000 more
+// routes occupied the link of each entry for half a second.
 TEST(packed, ManyRoutesCompressToATenth) {
   std::string text = RoutesDocument(3000);
   CHECK_TRUE(Pack(text)->size() * 10 < text.size());
 }
 
-// Processes of an earlier version store and send uncompressed documents.
+// Unpack accepts uncompressed documents, which processes of an earlier version
+// store and send.
 TEST(packed, UncompressedDocumentIsReturnedUnchanged) {
   CHECK_EQUAL(std::string("{}"), *Unpack("{}", 10));
   CHECK_EQUAL(std::string(), *Unpack("", 10));
 }
 
-// A truncated document is an error. A document with any changed byte is an
-// error or, if the change does not matter, the same document, but never another
-// one.
+// Unpack returns an error for a truncated document. For a document with one
+// changed byte it returns an error or the original text, never another text.
 TEST(packed, DamagedDocumentIsAnError) {
   std::string text = RoutesDocument(30);
   std::string packed = *Pack(text);
@@ -63,8 +65,9 @@
   }
 }
 
-// Four kilobytes may expand to four megabytes. Unpack must detect that this is
-// too large without decompressing all of it.
+// Guards against memory exhaustion by a small document: four kilobytes may
+// expand to four megabytes. Unpack must detect that the text is too large
+// without decompressing all of it.
 TEST(packed, OversizedDocumentIsAnError) {
   std::string text(4 << 20, 'x');
   Document packed = Pack(text);
--- a/test/duty/duty_test.cc
+++ b/test/duty/duty_test.cc
@@ -1,6 +1,6 @@
 // Tests of duties: the log, leadership, the group's time and usage counts. The
-// simulation at the end runs a whole group on a manual clock. The group reports
-// to a platform that executes calls late.
+// simulation at the end runs a group of replicas on a manual clock; the group
+// reports to a platform that executes calls late.
 #include <memory>
 #include <random>
 
@@ -35,8 +35,9 @@
 
 TEST_GROUP(duty){};
 
-// Guards against two contents under one number: two leaders each propose one,
-// and both proposals are committed in the end.
+// Guards against two contents under one sequence number. Two leaders each
+// propose a content for the number, and both proposals are committed in the
+// end.
 TEST(duty, FirstContentOfANumberWins) {
   DutyLog log;
   CHECK_TRUE(log.Apply({"usage", 7, Content("a"), 0}));
@@ -46,14 +47,15 @@
   LONGS_EQUAL(7, s.fixed_through);
   LONGS_EQUAL(1, static_cast<long>(s.open.size()));
   STRCMP_EQUAL("a", s.open.at(7)->c_str());
-  // Accepted contents are removed, and other subjects are not affected.
+  // Accepted contents are removed; the contents of other subjects stay.
   log.Apply({"scale", 1, Content("x"), 0});
   log.Apply({"usage", 8, Content("d"), 7});
   LONGS_EQUAL(1, static_cast<long>(log.FindSubject("usage").open.size()));
   LONGS_EQUAL(1, log.FindSubject("scale").fixed_through);
 }
 
-// Guards against memory growth while the platform is unreachable for hours.
+// Guards against unbounded growth of the log while the platform is unreachable
+// for hours.
 TEST(duty, LimitsOpenRecords) {
   DutyLog log;
   for (int64_t n = 1; n <= 1000; ++n) log.Apply({"usage", n, Content("x"), 0});
@@ -61,8 +63,8 @@
   LONGS_EQUAL(1000, log.FindSubject("usage").open.rbegin()->first);
 }
 
-// Guards against calls in the order A, B, A within a lease: A leads, B takes
-// over and A leads again, all within a second.
+// Guards against calls by hosts in the order A, B, A within one lease. Host A
+// leads, B takes over and A leads again, all within a second.
 TEST(duty, NewLeaderWaitsForPreviousHolderToStop) {
   DutyTurnPolicy p;
   p.lease = 3 * kSecond;
@@ -84,8 +86,9 @@
   CHECK_FALSE(leadership.UsableToken(now).has_value());
 }
 
-// Guards against a call by a process that was frozen after it requested a
-// confirmation of its leadership, and resumes with the outdated confirmation.
+// Guards against a call by a process with an outdated confirmation of its
+// leadership. The process requests a confirmation, is frozen, and receives the
+// confirmation when it resumes.
 TEST(duty, IgnoresOutdatedConfirmation) {
   DutyTurnPolicy p;
   p.lease = kSecond;
@@ -97,7 +100,7 @@
   now += 2 * kSecond;
   leadership.RecordConfirmation(1, requested_at);
   CHECK_FALSE(leadership.UsableToken(now).has_value());
-  // A confirmation for another term does not count.
+  // A confirmation for another term is ignored.
   leadership.RecordConfirmation(2, now);
   CHECK_FALSE(leadership.UsableToken(now).has_value());
 }
@@ -119,8 +122,9 @@
   CHECK_TRUE(leadership.UsableToken(now).has_value());
 }
 
-// Guards against wall clocks that jump on some hosts, the leader included: the
-// windows of all processes would move with them.
+// Guards against wall clocks that jump on some hosts, including the leader's.
+// If the group's time followed such a clock, the windows of all processes would
+// move with it.
 TEST(duty, ClockJumpsOfSomeHostsDoNotMoveGroupTime) {
   GroupTime t;
   TimePoint now{};
@@ -144,8 +148,8 @@
   }
 }
 
-// Guards against a follower whose time falls behind by the delay of a lossy
-// link, and against a follower that uses its own wall clock.
+// Guards against a follower whose time lags by the delay of a lossy link, and
+// against a follower that uses its own wall clock.
 TEST(duty, DelayedUpdateDoesNotMoveGroupTime) {
   GroupTime t;
   TimePoint now{};
@@ -157,13 +161,13 @@
   now += kSecond;
   t.NoteTold(true_ms() - 600, now);
   LONGS_EQUAL(true_ms() - 1, *t.UnixMs(now));
-  // Without updates from control the received time keeps advancing.
+  // Without updates from control the group's time keeps advancing.
   now += 60 * kSecond;
   LONGS_EQUAL(true_ms() - 1, *t.UnixMs(now));
 }
 
-// A new leader keeps the time that it received as a follower, until it has the
-// wall clocks of its own followers.
+// A new leader keeps the time that it received as a follower until it has
+// received the wall clocks of its own followers.
 TEST(duty, NewLeaderKeepsReceivedTime) {
   GroupTime t;
   TimePoint now{};
@@ -180,8 +184,8 @@
   LONGS_EQUAL(true_ms(), *t.UnixMs(now));
 }
 
-// Guards against requests counted twice when their counts are reported twice,
-// or through two processes after the first one failed.
+// Guards against requests that are counted twice. An entry reports the same
+// counts twice, or through a second process after the first one failed.
 TEST(duty, MergesCountsByMaximum) {
   UsageBook entry;
   for (int i = 0; i < 3; ++i) entry.Count(1, 10, "a");
@@ -193,7 +197,7 @@
   TimePoint now{};
   left.MergeRecords(reports.For("left", now));
   entry.Count(1, 10, "a");
-  // The left process fails before it answers: the right one gets all records.
+  // The process `left` fails before it answers, so `right` gets all records.
   reports.Lost();
   right.MergeRecords(reports.For("right", now));
   reports.Confirmed();
@@ -203,14 +207,15 @@
   leader.MergeRecords(left.ChangedSince(0, 100, &through));
   LONGS_EQUAL(4, leader.SumByAccount(10).at("a"));
   LONGS_EQUAL(1, leader.SumByAccount(11).at("a"));
-  // The counts of a restarted entry are added to those from before.
+  // The counts of a restarted entry are added to its counts from before the
+  // restart.
   leader.MergeRecords(std::vector<UsageRecord>{{2, 10, "a", 5}});
   LONGS_EQUAL(9, leader.SumByAccount(10).at("a"));
   LONGS_EQUAL(2, static_cast<long>(leader.CountProcesses(10)));
 }
 
 // Guards against counts that grow after their window was committed, and against
-// memory that grows with the number of requests.
+// memory use that grows with the number of requests.
 TEST(duty, DropsCommittedWindows) {
   UsageBook book(4);
   for (int i = 0; i < 1000; ++i) book.Count(1, 10, "a");
@@ -224,8 +229,8 @@
   LONGS_EQUAL(4, static_cast<long>(book.ChangedSince(0, 9, &through).size()));
 }
 
-// All records are reported, in parts of limited size and no more often than the
-// interval.
+// All records are reported, in reports of limited size that are at least the
+// minimum interval apart.
 TEST(duty, ReportsCountsInParts) {
   UsageBook entry;
   UsageBook control;
@@ -244,7 +249,7 @@
 }
 
 // Guards against a gap in the windows after an outage of the group, and against
-// a flood of old windows after a long outage.
+// a report for every missed window after a long outage.
 TEST(duty, CommitsWindowsWithoutGaps) {
   UsagePolicy p = FiveSecondWindows();
   DutyLog::Subject s;
@@ -260,8 +265,8 @@
               *WindowToCommit(s, book, 2'000'000, p));
 }
 
-// An unanswered report is sent again with growing delays, and does not delay
-// the next report.
+// An unanswered report is sent again with growing delays and does not delay the
+// report of the next window.
 TEST(duty, UnansweredReportDoesNotDelayOthers) {
   UsagePolicy p = FiveSecondWindows();
   DutyLog log;
@@ -293,8 +298,9 @@
 
 namespace {
 
-// A group that reports to a platform, on a manual clock. Each proposal has
-// other counts, so that two different reports of one window are noticed.
+// A simulated group that reports to a platform, on a manual clock. Each
+// proposal contains different counts, so that two different reports of one
+// window are detected.
 class ReportingGroup {
  public:
   explicit ReportingGroup(uint64_t seed)
@@ -390,7 +396,7 @@
     } else if (!judge.CarryOut(c)) {
       h.leadership.RecordRefusal(token);
     } else if (outcome < 5) {
-      h.deliveries.RecordFailed(window, now);  // The answer is lost.
+      h.deliveries.RecordFailed(window, now);  // The platform's answer is lost.
     } else {
       h.deliveries.RecordAccepted(window);
     }
@@ -405,10 +411,10 @@
 }  // namespace
 
 // Guards against violations of the platform's rules: two different reports of
-// one window, one token from two hosts, and holders in the order A, B, A within
-// a lease. Leaders are killed, frozen and isolated at any moment; calls are
-// executed late or lose their answers. After the faults end, every window has a
-// report.
+// one window, one token used by two hosts, and holders in the order A, B, A
+// within a lease. Leaders are killed, frozen and isolated at any moment; calls
+// are executed late or their answers are lost. After the faults end, every
+// window must have a report.
 TEST(duty, GroupReportsEachWindowOnceUnderFaults) {
   for (uint64_t seed = 1; seed <= 30; ++seed) {
     ReportingGroup g(seed);
@@ -444,7 +450,7 @@
     g.no_faults = true;
     for (int step = 0; step < 30 * 50; ++step) g.Step();
     for (const std::string& b : g.judge.broken()) FAIL(b.c_str());
-    // Checks the windows whose reports are due.
+    // Checks all windows whose reports are due.
     int64_t now = g.CurrentWindow();
     for (int64_t w = g.first(); w <= now - 3; ++w) {
       if (!g.judge.taken().count(w)) {
--- a/test/policy/limit_policy_test.cc
+++ b/test/policy/limit_policy_test.cc
@@ -13,12 +13,13 @@
 namespace {
 
 constexpr TimePoint kStart{std::chrono::hours(500)};
-// Some time of day, in milliseconds since 1970.
+// An arbitrary time of day, in milliseconds since 1970.
 constexpr Millis kUnixTime{1'790'000'000'123};
 
 // Returns the times at which `serving` processes send within `seconds`. Each
-// always has a request to send and looks for a slot every `poll_ms`. Its clock
-// is ahead of the shared time by up to `max_clock_error` ms.
+// process always has a request to send and looks for a slot every `poll_ms`.
+// The clock of each process is ahead of the shared time by up to
+// `max_clock_error` ms.
 std::vector<Millis> SimulateSends(double per_s, int serving, int seconds,
                                   int poll_ms = 20, int max_clock_error = 0) {
   std::vector<std::optional<Millis>> last_slots(static_cast<size_t>(serving));
@@ -38,7 +39,7 @@
   return out;
 }
 
-// Returns the largest number of sends within any `period`.
+// Returns the largest number of sends within any interval of length `period`.
 int MaxSendsWithin(const std::vector<Millis>& send_times, Millis period) {
   size_t max_sends = 0;
   for (size_t i = 0, j = 0; j < send_times.size(); ++j) {
@@ -57,8 +58,8 @@
 
 TEST_GROUP(limit_policy){};
 
-// Guards against a burst above the limit: hundreds of entries each save up a
-// share of the limit and spend it at the same moment.
+// Guards against a burst above the rate limit. Hundreds of entries each save up
+// their share of the limit and spend it at the same moment.
 TEST(limit_policy, ProcessesTogetherKeepTheLimit) {
   for (double per_s : {0.3, 1.0, 2.3, 7.7, 40.0}) {
     for (int serving : {1, 2, 8, 9, 33, 105, 362}) {
@@ -66,7 +67,7 @@
       std::string description = absl::StrCat(per_s, " a second at ", serving);
       CHECK_TRUE_TEXT(MaxSendsWithin(send_times, Millis(4000)) <= 6 * per_s + 5,
                       description.c_str());
-      // The whole limit is used while all processes have requests to send.
+      // The full limit is used while all processes have requests to send.
       CHECK_TRUE_TEXT(static_cast<double>(send_times.size()) >= 59 * per_s - 1,
                       description.c_str());
     }
@@ -78,8 +79,7 @@
   CHECK_TRUE(MaxSendsWithin(send_times, Millis(4000)) <= 11);
 }
 
-// Guards against the use of a slot twice when it begins at a whole
-// millisecond.
+// Guards against the double use of a slot that begins at a whole millisecond.
 TEST(limit_policy, UsesEachSlotOnce) {
   for (double per_s : {0.1, 0.5, 1.0, 2.0, 3.0, 8.0, 125.0}) {
     std::vector<Millis> send_times = SimulateSends(per_s, 1, 20, 1);
@@ -87,8 +87,9 @@
   }
 }
 
-// Guards against an entry whose clock was set back and that finds no open slot
-// until the clock has caught up.
+// Guards against an entry that sends nothing after its clock was set back. The
+// last slot that it used then lies in the future, and later slots open only
+// once the clock has caught up.
 TEST(limit_policy, FindsSlotsAfterClockIsSetBack) {
   TurnAsk ask{"i-1", 2, {1, 0}, kUnixTime};
   std::optional<Millis> last_slot = kUnixTime + Millis(3'600'000);
@@ -115,7 +116,7 @@
   DOUBLES_EQUAL(2.0, *book.Find("a")->per_s, 0);
   book.TakeTold({MakeRecord("a", std::nullopt, 200, 0)});
   CHECK_TRUE(book.Find("a") == nullptr);
-  // An older record arrives again, by a slower route.
+  // An older record arrives again, through another process.
   book.TakeTold({MakeRecord("a", 2.0, 150, 0)});
   CHECK_TRUE(book.Find("a") == nullptr);
 }
@@ -128,8 +129,9 @@
   CHECK_TRUE(book.Find("a")->since == kStart);
 }
 
-// Guards against an upstream that announces a slightly different limit in each
-// answer, which would be published to every process each time.
+// Guards against the publication of insignificant changes. An upstream
+// announces a slightly different limit in each answer, and each change would be
+// published to every process.
 TEST(limit_policy, IgnoresSmallChanges) {
   LimitBook book;
   book.Note("a", 2.0, kStart);
@@ -140,7 +142,7 @@
 }
 
 // Guards against a change that two processes report and publish to each other
-// forever, because each takes it for new.
+// forever, because each of them treats it as new.
 TEST(limit_policy, DoesNotReportBackPublishedLimits) {
   LimitBook entry;
   LimitBook control;
--- a/test/policy/part_memory_test.cc
+++ b/test/policy/part_memory_test.cc
@@ -18,9 +18,9 @@
 TEST_GROUP(part_memory){};
 
 // Failure: the same parts are prefilled on one engine after another. The
-// longest leading run decides which engine to copy from: the engine of the
-// subject if it is known, else that of the document. The last part of a request
-// is never shared.
+// longest leading run of parts determines the engine to copy from: the engine
+// that holds the subject if one is known, otherwise one that holds the
+// document. The last part of a request is never shared.
 TEST(part_memory, FindsTheLongestLeadingRun) {
   PartMemory m(std::chrono::seconds(10), 100);
   STRCMP_EQUAL("", m.Holder(Parts(1, 2, 3), kNow).engine.c_str());
@@ -34,8 +34,8 @@
   STRCMP_EQUAL("", m.Holder(Parts(8, 3, 9), kNow).engine.c_str());
 }
 
-// Parts that are too old or at a terminated engine are ignored, and the table
-// stays bounded for any input.
+// Parts that are too old or held by a terminated engine are ignored, and the
+// table stays bounded for any input.
 TEST(part_memory, RemovesOldPartsAndStaysBounded) {
   PartMemory m(std::chrono::seconds(10), 100);
   m.Note(Parts(1, 2, 3), "i-a", kNow);
--- a/test/policy/placement_test.cc
+++ b/test/policy/placement_test.cc
@@ -1,4 +1,4 @@
-// Tests of placement, each on the load pattern that it serves.
+// Tests of placement. Each test states the load pattern that it covers.
 #include "placement.h"
 
 #include <map>
@@ -64,8 +64,9 @@
   LONGS_EQUAL(3, decode.size());
 }
 
-// Engines reserved for long generations are not enforced when they are full and
-// others are idle: no class waits because of the split.
+// Guards against requests that wait because of the reservation. When the
+// engines reserved for long generations are full and other engines are idle,
+// the reservation is not enforced.
 TEST(placement, FullDecodeEnginesSpillOverToOthers) {
   std::vector<UpstreamBoard> upstreams = Engines(4);
   for (UpstreamBoard& b : upstreams) {
@@ -76,9 +77,9 @@
 }
 
 // Failure: the same prefix is prefilled on many engines. Load pattern: many
-// requests about a hundred subjects. Each subject has one preferred engine
-// while that engine is not clearly busier than the rest, and one substitute
-// while it is ejected.
+// requests about a hundred subjects. Each subject must have one preferred
+// engine while that engine is not clearly busier than the others, and one
+// substitute while the preferred engine is ejected.
 TEST(placement, EachSharedPrefixHasOnePreferredEngine) {
   std::vector<UpstreamBoard> upstreams = Engines(12);
   std::mt19937_64 random(2);
@@ -103,7 +104,7 @@
 
 // Failure: at the highest load prefixes are prefilled repeatedly, and each
 // prefill adds load. Load pattern: more long prompts than the engines can
-// prefill. A request whose preferred engines are saturated waits for them
+// prefill. A request whose preferred engines are saturated must wait for them
 // instead of going to any engine with room.
 TEST(placement, RequestsWaitForSaturatedPreferredEngines) {
   std::vector<UpstreamBoard> upstreams = Engines(12);
@@ -117,9 +118,10 @@
   CHECK_TRUE(placed.size() <= 2);
 }
 
-// Failure: a class is not served while a less urgent one is. Load pattern:
-// short and long shared prefixes at once. A request with a short shared prefix
-// goes to any engine instead of waiting for its preferred ones.
+// Failure: a class is not served while a less urgent class is. Load pattern:
+// requests with short and with long shared prefixes at once. A request with a
+// short shared prefix must go to any engine instead of waiting for its
+// preferred engines.
 TEST(placement, ShortSharedPrefixesGoToAnyEngine) {
   std::vector<UpstreamBoard> upstreams = Engines(12);
   PlacementAsk request = MakeRequest(WorkShape::kPrefill, 7);
@@ -177,8 +179,8 @@
       2, *Place(upstreams, MakeRequest(WorkShape::kPrefill), kNow, 0, kPolicy));
 }
 
-// A failing upstream is ejected for longer each time and returns at its first
-// success.
+// A failing upstream is ejected for longer each time and is no longer ejected
+// after its first success.
 TEST(placement, RepeatedFailuresEjectForLonger) {
   UpstreamBoard u = Engines(1)[0];
   NoteFailure(u, kNow, true, kPolicy);
@@ -194,10 +196,11 @@
 
 // Failure: long generations exceed their token gap target although engines are
 // reserved for them. Load pattern: nine entries share nine engines with twenty
-// long generations, about two per entry. An entry that estimates the total
-// demand from its own two reserves two or three engines; the third then gets
-// long prompts from some entries and generations from others. With the demand
-// taken from load reports, all entries reserve the same engines.
+// long generations, about two per entry. Cause: each entry estimates the total
+// demand from its own two generations and reserves two or three engines, so the
+// third engine gets long prompts from some entries and generations from others.
+// With the demand taken from load reports, all entries must reserve the same
+// engines.
 TEST(placement, EntriesReserveTheSameDecodeEngines) {
   std::mt19937_64 random(1);
   std::uniform_int_distribution<int> age_ms(0, 800);
@@ -223,9 +226,9 @@
 
 // Failure: long generations exceed their token gap target on engines with slow
 // prefill. Load pattern: prompts of long generations arrive in bursts of three,
-// and two bursts together block an engine for longer than the target. The
-// number of requests alone asks for too few engines. A third of the engines is
-// reserved while token gaps are near their target.
+// and two bursts together block an engine for longer than the target. Cause:
+// the number of engines reserved by the request count alone is too small. A
+// third of the engines must be reserved while token gaps are near their target.
 TEST(placement, TokenGapsNearTargetReserveMoreEngines) {
   DecodeDemand d;
   d.in_flight = 20;
@@ -233,19 +236,19 @@
   LONGS_EQUAL(2, DecodeEngines(d, 2, 64, 9, kPolicy));
   NotePause(0.95, kNow, kPolicy, &d);
   LONGS_EQUAL(3, DecodeEngines(d, 2, 64, 9, kPolicy));
-  // The reservation outlasts one short gap and ends after some seconds of short
-  // gaps.
+  // The reservation continues after a single short gap and ends after some
+  // seconds of short gaps.
   NotePause(0.2, kNow + std::chrono::seconds(1), kPolicy, &d);
   LONGS_EQUAL(3, DecodeEngines(d, 3, 64, 9, kPolicy));
   NotePause(0.2, kNow + std::chrono::seconds(9), kPolicy, &d);
   LONGS_EQUAL(2, DecodeEngines(d, 3, 64, 9, kPolicy));
 }
 
-// Failure: an engine preempts requests while less urgent ones keep running.
+// Failure: an engine preempts requests while less urgent requests keep running.
 // Load pattern: ten of 40 engines are lost in a burst of long generations; each
 // of 24 entries moves twelve requests within half a second, before any load
 // report. Cause: every entry counts only its own requests at the few engines
-// reserved for long generations, so one engine of 64 slots gets 77.
+// reserved for long generations, so one engine of 64 slots gets 77 requests.
 TEST(placement, EngineLossDoesNotOverfillRemainingEngines) {
   constexpr int kEntries = 24;
   constexpr int kSlots = 64;
@@ -273,11 +276,12 @@
   CHECK_TRUE(*std::max_element(at.begin(), at.end()) <= kSlots);
 }
 
-// Failure: some entries reject the most urgent generations while
-// others leave their part of the engines unused. Load pattern: eight times the
-// traffic, a fifth more of it at some entries. An engine that recently reported
-// room gets more than the part of the entry. An engine that is nearly full or
-// has no recent report does not, and no engine gets more than two parts.
+// Failure: some entries reject the most urgent generations while others leave
+// their part of the engines unused. Load pattern: eight times the usual
+// traffic, and a fifth more than that at some entries. An engine that recently
+// reported room must get more than the entry's part of its slots. An engine
+// that is nearly full or has no recent report must not, and no engine may get
+// more than two parts.
 TEST(placement, EngineThatReportsRoomGetsMoreGenerations) {
   constexpr int kEntries = 24;
   constexpr int kSlots = 64;
@@ -296,8 +300,8 @@
   CHECK_TRUE(u.in_flight <= 2 * kSlots / kEntries + 1);
 }
 
-// Failure: new work reaches an engine that is draining or whose agent does not
-// answer, because placement ignores this state.
+// Failure: new requests reach an engine that is draining or whose agent does
+// not answer, because placement ignores these states.
 TEST(placement, DrainingOrUnreachableUpstreamsGetNoWork) {
   std::vector<UpstreamBoard> upstreams = Engines(3);
   upstreams[0].info.leaving = true;
@@ -312,12 +316,12 @@
 }
 
 // Failure: one engine is overloaded while its load report shows it idle.
-// Sequence: a burst arrives within the delay of one report. The exact count of
-// own requests takes precedence over the report.
+// Sequence: a burst arrives before the next load report. The exact count of the
+// entry's own requests must take precedence over the report.
 TEST(placement, OwnRequestsCorrectADelayedLoadReport) {
   std::vector<UpstreamBoard> upstreams = Engines(3);
   for (UpstreamBoard& b : upstreams) b.reported_at = kNow - Millis(100);
-  upstreams[0].in_flight = 9;  // Its load report still shows 0.
+  upstreams[0].in_flight = 9;  // The load report of this engine still shows 0.
   upstreams[1].reported = 2;
   upstreams[2].reported = 2;
   for (int i = 0; i < 100; ++i) {
@@ -327,8 +331,9 @@
 }
 
 // Failure: one slow engine increases the token gaps of every class. Sequence:
-// the gaps between its events grow, and nothing detects it. The engine is
-// marked as a straggler and avoided while others can serve.
+// the gaps between the events of the engine grow, and nothing detects it. The
+// engine must be marked as a straggler and avoided while other engines can
+// serve.
 TEST(placement, AStragglerIsMarkedAndAvoided) {
   PlacementPolicy policy;
   policy.straggler_factor = 2;
@@ -360,9 +365,9 @@
 }
 
 // Failure: a request repeated with its idempotency key runs twice. Sequence:
-// the upstream that ran it is busy when it is repeated, and another upstream,
-// which does not know the key, gets it. The repeated request waits for its
-// pinned upstream instead.
+// the caller repeats the request while the upstream that ran it is busy, and
+// the request goes to another upstream, which does not know the key. The
+// repeated request must wait for its pinned upstream instead.
 TEST(placement, PinnedRequestUsesOnlyItsUpstream) {
   std::vector<UpstreamBoard> upstreams = Engines(3);
   PlacementAsk request = MakeRequest(WorkShape::kPlain);
@@ -383,14 +388,14 @@
 // Load pattern: many entries, each with few requests per subject; the first
 // preferred engine is saturated and a request goes to the second. Cause: the
 // engine to copy from was chosen by the first part of the prompt, which
-// placement does not use. The source must be the other preferred engine of the
-// prefix, never the engine itself.
+// placement does not use. The engine to copy from must be the other preferred
+// engine of the prefix, never the engine that gets the request.
 TEST(placement, CopySourceIsTheOtherPreferredEngine) {
   std::vector<UpstreamBoard> upstreams = Engines(12);
   for (uint64_t subject = 1; subject <= 50; ++subject) {
     PlacementAsk request = MakeRequest(WorkShape::kPrefill, subject);
     size_t first = *Place(upstreams, request, kNow, 0.5, kPolicy);
-    upstreams[first].reading = 100;  // At its prefill limit.
+    upstreams[first].reading = 100;  // This engine is at its prefill limit.
     size_t second = *Place(upstreams, request, kNow, 0.5, kPolicy);
     upstreams[first].reading = 0;
     CHECK(first != second);
@@ -403,9 +408,9 @@
 
 // Failure: while an engine is replaced, long prompts and long generations mix
 // on all engines. Sequence: the engine listed last starts to drain. Cause: the
-// number of engines was taken from the last upstream in the list, and a
-// draining one is not ranked: 0. The number must count all engines that are not
-// draining.
+// number of engines was taken from the last upstream in the list, and it is 0
+// there because a draining upstream is not ranked. The number must count all
+// engines that are not draining.
 TEST(placement, DrainingEngineDoesNotChangeRankedCount) {
   std::vector<UpstreamBoard> upstreams = Engines(9);
   LONGS_EQUAL(9, RankedUpstreams(upstreams, "engine"));
@@ -442,8 +447,8 @@
     CHECK_FALSE(upstreams[at].slow_decode);
     ++upstreams[at].in_flight;
   }
-  // Slow engines get generations once the fast ones are clearly busier, so no
-  // generation is rejected.
+  // Slow engines get generations once the fast engines are clearly busier, so
+  // no generation is rejected.
   bool slow_taken = false;
   for (int i = 0; i < 64; ++i) {
     size_t at = *Place(upstreams, request, kNow, draw(random), kPolicy);
@@ -463,7 +468,7 @@
   MarkSlow(absl::MakeSpan(upstreams), kPolicy);
   CHECK_FALSE(upstreams[1].slow_decode);
   for (UpstreamBoard& b : upstreams) b.decode_pace_s = 0.030;
-  // An entry that was suspended receives all delayed events together.
+  // After a suspension an entry receives all delayed events together.
   for (int i = 0; i < 6; ++i)
     NotePace(upstreams[static_cast<size_t>(i)], Millis(1));
   MarkSlow(absl::MakeSpan(upstreams), kPolicy);
--- a/test/policy/quarantine_test.cc
+++ b/test/policy/quarantine_test.cc
@@ -20,10 +20,11 @@
 constexpr RequestPrint kCrashing = 1;
 constexpr RequestPrint kCoLocated = 2;
 constexpr RequestPrint kOther = 3;
-constexpr auto kTimeToCrash = Millis(50);   // From sending to the crash.
-constexpr auto kResendDelay = Millis(200);  // From a crash to the next sending.
+constexpr auto kTimeToCrash = Millis(50);  // Time from sending to the crash.
+// Time from a crash to the next sending.
+constexpr auto kResendDelay = Millis(200);
 
-// Returns a crash `after` a request was sent at `sent`.
+// Returns a crash that occurred `after` the request was sent at `sent`.
 Crash MakeCrash(TimePoint sent, Duration after, bool just_begun = true) {
   return Crash{0, sent, sent + after, just_begun, false};
 }
@@ -55,9 +56,10 @@
   CHECK_TRUE(q.RefusedFor(kCrashing, now) > Duration::zero());
 }
 
-// A harmless request that was co-located with the crash-inducing one each time
-// has as many crashes. Neither request is quarantined until a crash has only
-// one of them in flight; that one is quarantined.
+// Guards against the quarantine of a harmless request that was co-located with
+// the crash-inducing request at each crash, so that both have equally many
+// crashes. Neither request is quarantined until a crash has only one of them in
+// flight; that request is then quarantined.
 TEST(quarantine, QuarantinesNeitherOfTwoRequestsAlwaysCoLocated) {
   for (int n = 1; n <= 3; ++n) CrashUpstream(n, {kCrashing, kCoLocated});
   CHECK_FALSE(q.Refuses(kCrashing));
@@ -67,7 +69,8 @@
   CHECK_FALSE(q.Refuses(kCoLocated));
 }
 
-// Guards against crashes without end while two requests cannot be told apart.
+// Guards against an unlimited number of crashes while two requests are in
+// flight at all the same crashes.
 TEST(quarantine, QuarantinesInseparableRequestsAfterMoreCrashes) {
   for (int n = 1; n <= QuarantinePolicy().min_crashes_if_ambiguous; ++n) {
     CrashUpstream(n, {kCrashing, kCoLocated});
@@ -75,9 +78,9 @@
   CHECK_TRUE(q.Refuses(kCrashing));
 }
 
-// Each of two crash-inducing requests has crashes of its own and is found. A
-// harmless request that was co-located with both, and so has more crashes than
-// either, is not quarantined.
+// Guards against the quarantine of a harmless request that was co-located with
+// two crash-inducing requests and so has more crashes than either. Each
+// crash-inducing request also has crashes without the other and is quarantined.
 TEST(quarantine, FindsTwoCrashInducingRequests) {
   CrashUpstream(1, {kCrashing, kCoLocated});
   CrashUpstream(2, {kOther, kCoLocated});
@@ -90,9 +93,10 @@
   CHECK_FALSE(q.Refuses(kCoLocated));
 }
 
-// Guards against a quarantine after one power loss: a lookup that many callers
-// send ran at four upstreams that lost power together, and each crash counted.
-// No upstream received it after another one had terminated.
+// Guards against a quarantine after one power loss. A lookup that many callers
+// send ran at four upstreams that lost power together, and each termination
+// counted as a crash. They must not count separately, as no upstream received
+// the lookup after another one had terminated.
 TEST(quarantine, CountsSimultaneousCrashesOnce) {
   for (int n = 1; n <= 4; ++n) {
     q.NoteCrash(kOther, absl::StrCat("i-", n),
@@ -103,10 +107,10 @@
 
 // Guards against the quarantine of a long generation that was in flight at
 // three unrelated crashes. Two engines terminate at the same moment: the
-// request is moved from the first to the second before the second is known to
-// be gone, and is interrupted again. The third engine terminates when the
-// request has run there for seconds. A request that crashes upstreams late is
-// still found, after two more crashes.
+// request is moved from the first to the second before the termination of the
+// second is known, and is interrupted again. The third engine terminates when
+// the request has run there for seconds. A request that crashes upstreams late
+// is still quarantined, after two more crashes.
 TEST(quarantine, RequiresMoreCrashesOfMovedOrRunningRequests) {
   q.NoteCrash(kOther, "i-1", MakeCrash(now, kTimeToCrash));
   q.NoteCrash(kOther, "i-2", MakeCrash(now + kTimeToCrash, Millis(1)));
@@ -124,9 +128,9 @@
 }
 
 // Guards against the quarantine of a generation that was in flight at three
-// power losses, each of which terminated several engines. The request cannot
-// have terminated engines that did not have it. It is cleared when
-// the records of those engines arrive later.
+// power losses, each of which terminated several engines. The generation cannot
+// have terminated the engines that did not have it. It must be cleared when the
+// records of those engines arrive later.
 TEST(quarantine, ClearsCrashesThatCoincideWithOtherTerminations) {
   for (int n = 1; n <= 3; ++n) CrashUpstream(n, {kOther});
   CHECK_TRUE(q.Refuses(kOther));
@@ -136,14 +140,15 @@
       MakeCrash(now - kTimeToCrash, kTimeToCrash + Millis(3)));
   q.TakeReported(other_process.ChangedSince(0, 10));
   CHECK_FALSE(q.Refuses(kOther));
-  // The clearing is published too.
+  // The cleared state of the crashes is published too.
   Quarantine follower;
   follower.TakeTold(q.Shared());
   CHECK_FALSE(follower.Refuses(kOther));
 }
 
-// Two copies of a crash-inducing request that terminate two upstreams at the
-// same moment count against it, as it was in flight at both.
+// Guards against clearing a crash-inducing request that was in flight at both
+// of two upstreams that terminated at the same moment. Two copies of the
+// request caused these crashes, so they count against it.
 TEST(quarantine, CountsSimultaneousCrashesOfCopies) {
   for (int n = 1; n <= 3; ++n) {
     q.NoteCrash(kCrashing, absl::StrCat("copy-", n),
@@ -153,7 +158,7 @@
   CHECK_TRUE(q.Refuses(kCrashing));
 }
 
-// A request that upstreams serve between crashes does not cause these crashes.
+// A request that an upstream serves is cleared of its earlier crashes.
 TEST(quarantine, ClearsEarlierCrashesOfServedRequest) {
   CrashUpstream(1, {kOther});
   CrashUpstream(2, {kOther});
@@ -223,9 +228,10 @@
   CHECK_TRUE(q.version() != 0);
 }
 
-// After an hour of crashes, hundreds of requests were in flight at two of them.
-// The published set stays small, and contains quarantined requests however old
-// their records are.
+// Guards against a published set that is too large or omits quarantined
+// requests. After an hour of crashes, hundreds of requests were in flight at
+// two crashes each. The published set must stay small and contain the
+// quarantined requests, even if their records are old.
 TEST(quarantine, LimitsPublishedRecords) {
   for (int n = 1; n <= 3; ++n) CrashUpstream(n, {kCrashing});
   for (RequestPrint p = 10; p < 1000; ++p) {
@@ -264,8 +270,9 @@
   LONGS_EQUAL(0, small.version());
 }
 
-// A report is repeated until it is confirmed. All records are reported again if
-// the target fails, as it may have restarted without them.
+// A report is repeated until the target confirms it. If the target fails, all
+// records are reported again, because the target may have restarted without
+// them.
 TEST(quarantine, RepeatsReportsUntilConfirmed) {
   CrashReports reports(q);
   CrashUpstream(1, {kCrashing});
@@ -302,7 +309,7 @@
   Quarantine restored;
   restored.TakeReported(LoadCrashRecords(dir, other_now));
   CHECK_TRUE(restored.Refuses(kCrashing));
-  // A damaged file counts as missing.
+  // A damaged file is treated like a missing one.
   for (const auto& f : std::filesystem::directory_iterator(dir)) {
     std::fstream damaged(f.path(), std::ios::in | std::ios::out);
     damaged.seekp(20);
@@ -312,7 +319,8 @@
   CHECK_FALSE(DecodeCrashRecords("no records", now).ok());
 }
 
-// The same body from another account or at another path is another request.
+// A request with the same body but from another account or at another path has
+// another fingerprint.
 TEST(quarantine, FingerprintDependsOnPathAccountAndBody) {
   RequestPrint p = PrintOf("/a/1", "club", "words");
   CHECK_TRUE(p == PrintOf("/a/1", "club", "words"));
--- a/test/policy/reading_gate_test.cc
+++ b/test/policy/reading_gate_test.cc
@@ -10,9 +10,10 @@
 TEST_GROUP(reading_gate){};
 
 // Failure: at the highest load every long prompt is late. Load pattern: 24
-// entries, 38 engines, prompts at 1.5 times the capacity; each entry uses a
-// single engine only every few seconds. The limit must fall until first events
-// are in time, and rise again only while it is reached.
+// entries send prompts at 1.5 times the capacity of 38 engines; each entry uses
+// a single engine only every few seconds. The limit must fall until first
+// events are in time, and rise again only while the number of prompts is at the
+// limit.
 TEST(reading_gate, LimitFollowsFirstEventsOfAllEngines) {
   ReadingGatePolicy policy;
   ReadingGate gate(policy);
@@ -28,9 +29,10 @@
   CHECK_TRUE(gate.limit() > low + 2);
 }
 
-// Failure: a class is rejected while a less urgent one is served. Load pattern:
-// both exceed the capacity at once. Less urgent prompts in flight must not
-// block more urgent ones; more urgent ones do block less urgent ones.
+// Failure: a class is rejected while a less urgent class is served. Load
+// pattern: both classes together exceed the capacity. Less urgent prompts in
+// flight must not block more urgent ones, but more urgent prompts must block
+// less urgent ones.
 TEST(reading_gate, LessUrgentPromptsDoNotBlockMoreUrgentOnes) {
   ReadingGatePolicy policy;
   ReadingGate gate(policy);
@@ -53,18 +55,18 @@
   CHECK_TRUE(gate.limit() > policy.start / 2);
 }
 
-// Failure: streams that began in time are cut at their deadline. Load pattern:
-// for a minute, twelve long prompts per second at an engine that prefills ten
-// per second, 100 ms each; a token decoded during a prefill takes ten times as
-// long. Cause: a limit that lets prompts queue at the engine for half of their
-// target keeps it in prefill without a break. The limit must keep that queue
-// short and the engine busy.
+// Failure: streams that began in time are interrupted at their deadline. Load
+// pattern: for a minute, twelve long prompts per second arrive at an engine
+// that prefills ten per second, 100 ms each; a token decoded during a prefill
+// takes ten times as long. Cause: a limit that lets prompts queue at the engine
+// for half of their target keeps the engine in prefill without a break. The
+// limit must keep that queue short and the engine busy.
 TEST(reading_gate, KeepsTheQueueAtTheEngineShort) {
   constexpr auto kPrefillTime = Millis(100);
   constexpr auto kTarget = Millis(2000);
   constexpr auto kArrivalInterval = Millis(83);
   ReadingGate gate(ReadingGatePolicy{});
-  std::deque<TimePoint> queue;  // Send times.
+  std::deque<TimePoint> queue;  // Send times of the prompts at the engine.
   TimePoint now{};
   TimePoint prefill_done{};
   Duration total_latency{};
@@ -89,6 +91,6 @@
     total_latency += took;
     ++prefilled;
   }
-  CHECK_TRUE(prefilled > 285);  // Of the 300 possible in that time.
+  CHECK_TRUE(prefilled > 285);  // At most 300 prefills fit in that time.
   CHECK_TRUE(total_latency / prefilled < kTarget * 35 / 100);
 }
--- a/test/policy/tier_guard_test.cc
+++ b/test/policy/tier_guard_test.cc
@@ -20,8 +20,9 @@
 // Failure: 74% of a tier are rejected while the tier below it starts requests
 // every second. Load pattern: a burst of six times the traffic at one entry;
 // requests of tier 1 wait for 80 ms, those of tier 2 for 150 ms. Sequence: all
-// waiting requests of tier 1 expire; the next free slot finds only tier 2
-// waiting. A tier with rejections must block less urgent tiers.
+// waiting requests of tier 1 expire, and the next free slot goes to tier 2
+// because only tier 2 is waiting. A tier with rejections must block less urgent
+// tiers.
 TEST(tier_guard, NoSlotGoesToALessUrgentTierDuringRejections) {
   for (bool guarded : {false, true}) {
     std::mt19937 random(7);
@@ -58,7 +59,7 @@
     }
     CHECK_TRUE(rejected[1] > 100);
     if (guarded) {
-      CHECK_TRUE(started[2] <= 2);  // Before the first rejection.
+      CHECK_TRUE(started[2] <= 2);  // Started before the first rejection.
     } else {
       CHECK_TRUE(started[2] > 5);
     }
@@ -78,10 +79,10 @@
   CHECK_FALSE(guard.Admits(3, kNow));
 }
 
-// Failure: a class gets nothing for seconds although engines are free.
+// Failure: a class gets no slots for seconds although engines are free.
 // Sequence: a burst of the tier above it has ended; that tier has no more
-// rejections or no more requests at all. The others must continue three seconds
-// after the last rejection.
+// rejections or no more requests at all. The blocked tiers must continue three
+// seconds after the last rejection.
 TEST(tier_guard, BlockEndsSoonAfterABurst) {
   for (bool more_arrive : {false, true}) {
     TierGuard guard(kPolicy);
@@ -94,7 +95,7 @@
   }
 }
 
-// One rejection among very many requests blocks nobody for long.
+// A single rejection among very many requests blocks other tiers only briefly.
 TEST(tier_guard, OneRejectionAmongManyDoesNotBlock) {
   TierGuard guard(kPolicy);
   TimePoint now = kNow;
@@ -105,7 +106,7 @@
 }
 
 // When the prefill limit is reached, only the least urgent prompts wait; more
-// urgent ones still find room.
+// urgent prompts may still be sent.
 TEST(tier_guard, UrgentPromptsFindRoomAtThePrefillLimit) {
   ReadingGatePolicy policy;
   ReadingGate gate(policy);
--- a/test/policy/upstream_list_test.cc
+++ b/test/policy/upstream_list_test.cc
@@ -1,5 +1,5 @@
 // Tests of the upstream list and of its distribution by differences, compared
-// with sending the whole list.
+// with sending the full list.
 #include "upstream_list.h"
 
 #include <algorithm>
@@ -109,17 +109,18 @@
   }
 }
 
-// An empty list that was received differs from no list.
+// An empty list that was received has another version than no list.
 TEST(upstream_list, EmptyListHasAVersion) {
   UpstreamList a;
   a.Replace({});
   CHECK_TRUE(a.version() != 0);
 }
 
-// Differences are sent to two followers through the codec; some are lost,
-// duplicated or reordered. The followers request updates from their version on
-// at either of two sources, one of which misses updates for a while. A follower
-// must always hold a list that existed, and finally the newest one.
+// Guards against followers that hold a list that never existed. Differences are
+// sent to two followers through the codec; some are lost, duplicated or
+// reordered. The followers request updates from either of two sources, one of
+// which misses updates for a while. A follower must always hold a list that
+// existed, and finally the newest list.
 TEST(upstream_list, DifferencesYieldTheSameListAsFullUpdates) {
   int applied_differences = 0;
   for (uint32_t seed = 1; seed <= 50; ++seed) {
@@ -158,8 +159,8 @@
       }
     }
     for (int f = 0; f < 2; ++f) {
-      // No more losses: one request suffices, plus one for the whole list if
-      // the first answer does not fit.
+      // No messages are lost from here on: one request suffices, plus one for
+      // the full list if the first answer does not apply.
       if (follower[f].version() != source[0].version()) {
         deliver(f, source[0].EncodedSince(follower[f].version()));
       }
@@ -170,7 +171,7 @@
   CHECK_TRUE(applied_differences > 500);
 }
 
-// A difference from another base list or a damaged one is rejected and leaves
+// A damaged difference, or one from another base list, is rejected and leaves
 // the list unchanged.
 TEST(upstream_list, RejectedDifferenceChangesNothing) {
   ListHistory source = History();
@@ -192,7 +193,7 @@
   bad[2].changed[0].address.port = 9;
   bad[3].gone.clear();
   bad[4].changed.push_back(bad[4].changed[0]);
-  bad[5].from = 0;  // Claims to be the whole list.
+  bad[5].from = 0;  // The difference claims to be the full list.
   for (const ListChange& c : bad) {
     CHECK_FALSE(follower_list.Apply(c));
     CHECK_EQUAL(base, follower_list.version());
@@ -202,8 +203,8 @@
   CHECK_FALSE(follower_list.Apply(good));
 }
 
-// A follower with a version older than the kept changes gets the whole list,
-// and all holders of one version get the same bytes.
+// A follower whose version is older than the kept changes gets the full list.
+// All holders of the same version get the same bytes.
 TEST(upstream_list, OldVersionsGetTheWholeList) {
   ListHistory source = History(4);
   source.Replace(Upstreams(0, 8));
@@ -222,8 +223,8 @@
   CHECK_TRUE(source.EncodedSince(first) == source.EncodedSince(0));
 }
 
-// When a list returns to an earlier version, the difference starts from its
-// latest occurrence.
+// When the list returns to an earlier version, the difference starts from the
+// latest occurrence of that version.
 TEST(upstream_list, RecurringVersionUsesItsLatestOccurrence) {
   ListHistory source = History();
   std::vector<UpstreamInfo> a = Upstreams(0, 8);
@@ -243,7 +244,7 @@
 }
 
 // The difference for one changed upstream of 3,000 is small compared with the
-// list.
+// full list.
 TEST(upstream_list, DifferenceSizeDependsOnTheChange) {
   ListHistory source = History();
   std::vector<UpstreamInfo> list = Upstreams(0, 3000);
--- a/test/policy/waiting_test.cc
+++ b/test/policy/waiting_test.cc
@@ -1,6 +1,6 @@
 // Tests of the waiting queue: the serving order, and which requests are
-// rejected or shed. Rejection is immediate, never hits a tier for a less urgent
-// one, and no request starves.
+// rejected or shed. A rejection is immediate, a request is never rejected in
+// favour of a less urgent tier, and no request starves.
 #include "waiting.h"
 
 #include <map>
@@ -32,7 +32,8 @@
     w.service = kService;
     return queue.Enter(std::move(w), &shed);
   }
-  // Dispatches the first request in serving order. Returns 0 when none waits.
+  // Dispatches the first request in serving order and returns its sequence
+  // number. Returns 0 when no request waits.
   uint64_t DispatchNext() {
     std::vector<uint64_t> order = queue.InOrder(kService, clock.Now());
     if (order.empty()) return 0;
@@ -57,14 +58,14 @@
 
 // Failure: a top-tier request is rejected while requests of a lower tier wait.
 // Sequence: the queue fills with low-tier requests, then a top-tier request
-// arrives. The queue must shed the lower tier.
+// arrives. The queue must shed a request of the lower tier.
 TEST(waiting, FullQueueShedsLowerTierNotHigher) {
   Rig r(PolicyWithLimit(3));
   for (uint64_t i = 1; i <= 3; ++i) CHECK_TRUE(r.Enter(i, kLow).ok());
   CHECK_TRUE(r.Enter(4, kTop).ok());
   CHECK_TRUE(r.shed.has_value());
-  CHECK_EQUAL(3u, *r.shed);  // The newest of the lowest tier.
-  // A low-tier arrival never sheds the top tier: it is rejected instead.
+  CHECK_EQUAL(3u, *r.shed);  // The newest request of the lowest tier.
+  // A low-tier request never sheds a top-tier request: it is rejected instead.
   for (uint64_t i = 5; i <= 7; ++i) r.Enter(i, kTop).IgnoreError();
   absl::Status low = r.Enter(8, kLow);
   CHECK_FALSE(low.ok());
@@ -81,7 +82,7 @@
   CHECK_EQUAL(1u, r.DispatchNext());
 }
 
-// Guards the baseline of comparisons, which ignores tiers.
+// Checks the baseline of comparisons, which ignores tiers.
 TEST(waiting, WithoutTiersServesInArrivalOrder) {
   WaitingPolicy p;
   p.tiered = false;
@@ -114,8 +115,9 @@
 // Failure: in a burst of the top class, 7 of 113 requests of the class below
 // are rejected although answers of the top class take a fifth of their target.
 // Sequence: the top tier takes every slot for longer than the target of the
-// lower one. Cause: starvation is judged only by a bound of seconds, which
-// exceeds that target. It must also depend on the maximum wait of the request.
+// lower tier. Cause: a request starves only after a bound of seconds, which
+// exceeds that target. Whether a request starves must also depend on its
+// maximum wait.
 TEST(waiting, ShortMaximumWaitStarvesSooner) {
   WaitingPolicy p;
   p.starvation_bound = std::chrono::seconds(4);
@@ -139,8 +141,8 @@
   LONGS_EQUAL(0, rejected);
 }
 
-// Failure: a caller waits almost until its deadline and is rejected then.
-// Cause: expired requests are noticed late. A request must expire at the
+// Failure: a caller waits almost until its deadline and is rejected only then.
+// Cause: the queue detects expired requests late. A request must expire at the
 // moment its maximum wait ends.
 TEST(waiting, ExpiredRequestIsReportedAtItsDeadline) {
   Rig r({});
@@ -154,30 +156,31 @@
   CHECK_EQUAL(0u, r.queue.size(kService));
 }
 
-// Failure: a request waits for its whole maximum wait and is rejected then,
-// although the queue ahead could not empty in time. It must be rejected on
+// Failure: a request is rejected only after its maximum wait, although the
+// queue ahead of it could not empty in time. The request must be rejected on
 // arrival.
 TEST(waiting, UnmeetableTargetIsRejectedOnArrival) {
   WaitingPolicy p;
   p.refuse_unmeetable = true;
   Rig r(p);
-  // Slots become free at 10/s: two dispatches 100 ms apart set the rate.
+  // Slots become free at 10 per second: two dispatches 100 ms apart set the
+  // rate.
   for (uint64_t i = 1; i <= 3; ++i) CHECK_TRUE(r.Enter(i, kTop).ok());
   r.DispatchNext();
   r.clock.Advance(Millis(100));
   r.DispatchNext();
   for (uint64_t i = 10; i < 20; ++i) CHECK_TRUE(r.Enter(i, kTop).ok());
-  // 11 requests ahead at 10/s take 1.1 s, more than the 500 ms target.
+  // 11 requests ahead at 10 per second take 1.1 s, more than the 500 ms target.
   absl::Status s = r.Enter(30, kTop, Millis(500));
   CHECK(KindOf(s) == ErrorKind::kTargetUnmeetable);
 }
 
-// Differential test against first come, first served on random traces.
-// Properties that the queue must have and the baseline need not: (1) no
-// top-tier request is shed or rejected for lack of room while a lower tier
+// Differential test against first come, first served on random traces. The
+// queue must have these properties, the baseline need not: (1) no top-tier
+// request is shed or rejected for lack of room while a lower-tier request
 // waits; (2) every admitted request is served, expired or shed exactly once:
 // never twice, never lost; (3) no low-tier request waits longer than the
-// starvation bound plus the delay until its floor slot.
+// starvation bound plus the delay until the next slot for a starving request.
 TEST(waiting, DifferentialAgainstArrivalOrderOnRandomTraces) {
   for (uint64_t seed = 1; seed <= 40; ++seed) {
     std::mt19937_64 rng(seed);
@@ -187,7 +190,8 @@
     WaitingPolicy naive_policy = PolicyWithLimit(20);
     naive_policy.tiered = false;
     Rig naive(naive_policy);
-    std::map<uint64_t, int> outcomes;  // Times each request left the queue.
+    // Number of times each request left the queue.
+    std::map<uint64_t, int> outcomes;
     std::map<uint64_t, Tier> tier;
     std::map<uint64_t, TimePoint> since;
     int naive_top_rejected = 0;
@@ -224,7 +228,7 @@
       for (uint64_t q : naive.queue.Expired(naive.clock.Now())) {
         naive.queue.Leave(q);
       }
-      // One slot per step is less than the arrivals: overload.
+      // One slot per step is fewer than the arrivals per step: overload.
       if (uint64_t q = ours.DispatchNext()) {
         ++outcomes[q];
         low_waiting -= tier[q] == kLow;
@@ -244,10 +248,10 @@
 }
 
 // Failure: at the highest load hardly any answer is in time although the
-// engines work without a break. Load pattern: arrivals at 1.5 times the rate of
-// free slots for ten seconds; a first event comes 0.6 of the target after its
-// slot. Cause: a long maximum wait keeps the queue full, and each dispatched
-// request has spent the time that its answer needs.
+// engines work without a break. Load pattern: requests arrive at 1.5 times the
+// rate of free slots for ten seconds; a first event comes 0.6 of the target
+// after its slot. Cause: a long maximum wait keeps the queue full, and each
+// dispatched request has already spent the time that its answer needs.
 TEST(waiting, OverloadDoesNotMakeEveryAnswerLate) {
   constexpr auto kTarget = Millis(1000);
   constexpr auto kFirstEvent = Millis(600);
