--- a/src/duty/duty_turn.h
+++ b/src/duty/duty_turn.h
@@ -18,8 +18,8 @@
 struct DutyTurnPolicy {
   // Duration of the lease that the outside system grants a holder.
   Duration lease{};
-  // Added to the lease: covers the time until a leader notices that it has lost
-  // its quorum, and the transit of its last call.
+  // Time added to the lease. It covers the time until a leader notices that it
+  // has lost its quorum, and the transit of its last call.
   Duration margin = std::chrono::seconds(1);
   // Maximum age of the quorum's last confirmation of the leadership, counted
   // from the time at which it was requested. A process that was frozen after
--- a/src/policy/placement.cc
+++ b/src/policy/placement.cc
@@ -19,13 +19,13 @@
 constexpr double kStragglerCost = 10;
 // Weight of the newest gap in the smoothed event gap.
 constexpr double kGapSmoothing = 0.2;
-// Weights of a new decode pace that is faster or slower than the known one.
+// Weights of a new decode pace that is faster or slower than the known pace.
 // They differ because a busy engine looks slow for a while, but an idle engine
 // never looks too fast.
 constexpr double kFasterPaceSmoothing = 0.3;
 constexpr double kSlowerPaceSmoothing = 0.01;
-// A pace faster than this share of the known one is ignored: the events were
-// delayed on their way and arrived together.
+// A pace below this share of the known pace (seconds per event) is ignored: the
+// events were delayed on their way and arrived together.
 constexpr double kBunchedEventsShare = 0.5;
 // Minimum number of known paces for engines to be marked as slow, and the
 // divisor that selects the reference pace: the quantile 1 /
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -103,8 +103,8 @@
   // that of the least loaded upstream by at most this share of slots. A
   // repeated prefill costs more than a few slots in the batch.
   double affinity_slack = 0.25;
-  // A shared prefix with fewer tokens is prefilled again instead of waiting
-  // for an engine that holds it.
+  // A shared prefix with fewer tokens than this is prefilled again instead of
+  // waiting for an engine that holds it.
   int64_t min_affinity_tokens = 2000;
   // Number of preferred engines of one prefix. The second engine serves
   // requests while the first is saturated.
--- a/src/policy/quarantine.cc
+++ b/src/policy/quarantine.cc
@@ -10,8 +10,8 @@
 namespace medlarwalk {
 namespace {
 
-// Records with fewer crashes are not published: a single crash usually
-// involves many requests and says little about each of them.
+// Records with fewer crashes than this are not published: a single crash
+// usually involves many requests and says little about each of them.
 constexpr size_t kMinCrashesToPublish = 2;
 // Interval between checks for expired records.
 constexpr auto kExpiryInterval = std::chrono::seconds(1);
