--- a/src/caller_server.cc
+++ b/src/caller_server.cc
@@ -13,18 +13,19 @@
 namespace medlarwalk {
 namespace {
 
-// Interval of the check for idle and slow callers.
+// Interval of the check for idle and slow callers, in seconds.
 constexpr double kSweepSeconds = 0.25;
-// Bytes that a caller may send ahead while its request is being answered. The
-// connection is closed beyond that.
+// Bytes that a caller may send ahead while its previous request is being
+// answered. A connection that exceeds this limit is closed.
 constexpr size_t kMaxUnparsedBytes = 1 << 20;
-// A connection that was idle for less time is not evicted, because its first or
-// next request may already be on its way.
+// Minimum idle time before a connection may be evicted. Before that, its first
+// or next request may already be on its way.
 constexpr Millis kMinIdle(20);
-// Interval of eviction attempts while new callers wait.
+// Interval of eviction attempts while new callers wait, in seconds.
 constexpr double kEvictionSeconds = 0.025;
-// One in this many evictable connections is closed at once. Scanning all
-// connections for each new caller would cost more than serving the callers.
+// Inverse of the minimum share of evictable connections that one eviction
+// closes. Scanning all connections for each new caller would cost more than
+// serving the callers.
 constexpr size_t kEvictOneIn = 8;
 // Descriptors reserved for links, listeners, logs and files.
 constexpr size_t kReservedDescriptors = 100;
@@ -59,8 +60,9 @@
     tcp_->set_events(std::move(e));
   }
 
-  // Closes the connection after the caller disconnected, the connection failed
-  // or a limit was exceeded, and notifies the handler of a request in progress.
+  // Closes the connection and notifies the handler of a request in progress.
+  // Called when the caller disconnected, the connection failed or the server
+  // gives up the connection.
   void Disconnect() {
     auto self = shared_from_this();
     auto ex = std::move(exchange_);
@@ -97,8 +99,8 @@
   // Closes the connection now, without the end of the answer.
   void Abort() {
     auto self = shared_from_this();
-    // In an answer without a length, an orderly close would mark it as
-    // complete.
+    // An answer without a length ends with an orderly close. The connection is
+    // therefore reset, so that the interrupted answer does not look complete.
     bool reset = exchange_ && exchange_->started_ && !exchange_->chunked_;
     DetachExchange();
     server_->connections_.erase(this);
@@ -117,13 +119,14 @@
   void CloseAfterThisAnswer() { close_after_ = true; }
   bool server_closing() const { return server_->closing_after_answers_; }
 
-  // Closes the connection if it is idle or slow beyond its limit.
+  // Closes the connection if it has been idle, or has received nothing of its
+  // request, for longer than its timeout.
   void CloseIfTimedOut(TimePoint now) {
     if (answering_) return;
     Duration limit = parser_.started() ? server_->limits_.header_timeout
                                        : server_->limits_.idle_timeout;
-    // Each arriving byte restarts the limit, so a body may take longer than the
-    // limit as long as data keeps arriving.
+    // Each arriving byte restarts the timeout, so a body may take longer than
+    // the timeout as long as data keeps arriving.
     if (now - last_activity_ > limit) Disconnect();
   }
   void CloseIfIdle() {
--- a/src/caller_server.h
+++ b/src/caller_server.h
@@ -29,7 +29,7 @@
  public:
   MessageHead head;
   std::string body;
-  TimePoint arrived{};  // When the request had been read completely.
+  TimePoint arrived{};  // When the complete request had been read.
 
   // Sends a complete answer.
   void Respond(int status, const HeaderList& headers, absl::string_view body);
@@ -92,8 +92,8 @@
   int port() const { return listener_.port(); }
   // Sets the limits for messages that begin from now on.
   void set_limits(const CallerLimits& limits) { limits_ = limits; }
-  // Limits the number of connections to about `n`. Beyond it, the connections
-  // idle longest are closed; if all are busy, new callers wait in the listen
+  // Limits the number of connections to about `n`. If there are more, those
+  // idle longest are closed. If all are busy, new callers wait in the listen
   // backlog.
   void set_most_connections(size_t n) { max_connections_ = n; }
   // First step of a planned stop: every answer from now on closes its
@@ -112,8 +112,8 @@
   friend class CallerConnection;
   static void OnSweep(struct ev_loop* loop, ev_timer* w, int revents);
   static void OnEvictionTimer(struct ev_loop* loop, ev_timer* w, int revents);
-  // Closes idle connections if the limit is reached, and pauses accepting while
-  // none can be closed.
+  // Closes idle connections if the maximum number is reached, and pauses
+  // accepting while none can be closed.
   void EvictIdleForNewcomers();
   // Returns the idle connections that may be closed to accept new callers, the
   // longest idle first.
@@ -127,7 +127,7 @@
   bool closing_after_answers_ = false;
   size_t max_connections_ = SIZE_MAX;
   ev_timer sweep_timer_{};
-  ev_timer eviction_timer_{};  // Active while new callers wait.
+  ev_timer eviction_timer_{};  // Runs while new callers wait.
   std::unordered_map<CallerConnection*, std::shared_ptr<CallerConnection>>
       connections_;
 };
--- a/src/control.cc
+++ b/src/control.cc
@@ -17,24 +17,24 @@
 namespace {
 
 constexpr double kTickSeconds = 0.02;
-// A control process without a leader reads the upstream list itself, at this
-// fraction of the usual rate. Any number of control processes may do so at the
-// same time.
+// Share of the usual read rate at which a control process without a leader
+// reads the upstream list itself. Any number of control processes may do so at
+// the same time.
 constexpr double kLeaderlessListRate = 0.4;
-// A follower that sent no watch for this long is no longer counted.
+// Followers that sent no watch for this long are no longer counted.
 constexpr auto kFollowerTimeout = std::chrono::seconds(3);
 // How long a process without a disk trusts the leader that its last watch
 // answer named.
 constexpr auto kAnnouncedLeaderTtl = std::chrono::seconds(1);
 constexpr auto kHelloInterval = Millis(300);
-// Maximum bytes of configurations in flight to the leader: what fits in half a
-// second on the leader's link of 100 Mbit/s, which all forwarding members
-// share.
+// Maximum bytes of configurations in flight to the leader. This many bytes fit
+// in half a second on the leader's link of 100 Mbit/s, which all forwarding
+// members share.
 constexpr size_t kMaxForwardedBytes = size_t{1} << 20;
 constexpr auto kStoreRetryInterval = std::chrono::seconds(1);
-// Size of the kept history of list changes, in changed upstreams: what a fleet
-// of hundreds produces in a minute of replacements. A follower that was away
-// for longer receives the whole list.
+// Size of the kept history of list changes, as a number of changed upstreams. A
+// fleet of hundreds replaces this many in a minute. A follower that was away
+// for longer receives the complete list.
 constexpr size_t kMaxListChanges = 256;
 // Heap usage is logged when it has changed by kMemoryStep bytes, at most once
 // per kMemoryLogInterval.
@@ -89,8 +89,8 @@
             OnLeaderReply(r, in_sync);
           }),
       list_history_(kMaxListChanges, EncodeListChange) {
-  // Prevents the leader from sending configurations in watch answers: they
-  // arrive through the replicated log.
+  // Claims the highest version, so that the leader sends no configurations in
+  // watch answers. Configurations arrive through the replicated log.
   leader_watch_.state().config_version = std::numeric_limits<int64_t>::max();
   InitTimer(&tick_, OnTick, kTickSeconds, kTickSeconds);
   tick_.data = this;
@@ -199,9 +199,10 @@
 }
 
 // Sends a message to a member. At most one message with log entries or a
-// snapshot is in flight per member. Meanwhile, further messages go without
-// them, as heartbeats. This bounds the bytes queued on a slow link. A link that
-// stops accepting bytes fails its pings and is closed, which ends the call.
+// snapshot is in flight per member. Until it is answered, further messages are
+// sent as heartbeats, without entries or snapshot. This bounds the bytes queued
+// on a slow link. A link that stops accepting bytes fails its pings and is
+// closed, which ends the call.
 void Control::SendToPeer(const Member& to, const ReplicaMessage& m) {
   if (!links_.LinkTo(to.address).usable()) return;
   bool carries_load = !m.entries.empty() || m.snapshot;
--- a/src/control.h
+++ b/src/control.h
@@ -40,7 +40,7 @@
   // does.
   int peer_listen_port = 0;
   std::vector<std::string> seeds;  // Peer addresses of some control processes.
-  // Whether the whole system starts for the first time.
+  // Whether this is the first start of the whole system.
   bool bootstrap = false;
   // Directory for replicated state. Empty on a host without a disk: the process
   // then stores nothing and forwards operators' calls to the leader.
@@ -65,8 +65,8 @@
   Control(const Control&) = delete;
   Control& operator=(const Control&) = delete;
 
-  // Starts to listen and to follow. Errors: Unavailable when the peer address
-  // cannot be bound.
+  // Starts listening at the peer address and following the other control
+  // processes. Errors: Unavailable when the peer address cannot be bound.
   absl::Status Start();
   void set_seeds(std::vector<std::string> seeds);
 
@@ -102,7 +102,7 @@
   struct Follower {
     TimePoint last_seen{};
     std::string data_centre;
-    std::string address;  // Address of a control process, otherwise empty.
+    std::string address;  // Set for control processes only.
     bool serves_callers = false;
     int serving_followers = 0;  // Serving processes that watch the follower.
   };
@@ -192,7 +192,8 @@
   // WatchReply::serving and WatchReply::place of the leader's last answer.
   int leader_serving_count_ = 0;
   int leader_serving_index_ = -1;
-  // Data centres of the control processes, as published by the leader.
+  // Data centres of the control processes by address, as published by the
+  // leader.
   std::map<std::string, std::string> data_centre_by_address_;
   // Addresses of the members as last announced to this process. Used only while
   // it has no replica.
@@ -209,7 +210,8 @@
   TimePoint memory_logged_at_{};
   // Whether a request to the leader to confirm the newest version is in flight.
   bool confirming_version_ = false;
-  // Version that the leader confirmed last, and when that was requested.
+  // Version that the leader confirmed last, and the time of the request for
+  // that confirmation.
   TimePoint confirm_requested_at_{};
   int64_t confirmed_version_ = 0;
   ev_timer tick_{};
--- a/src/control_calls.cc
+++ b/src/control_calls.cc
@@ -50,8 +50,8 @@
     done(absl::UnavailableError("no store"));
     return;
   }
-  // A committed configuration is durable. The same or a lower version therefore
-  // succeeds without the leader.
+  // A committed configuration is durable. A submission of the committed version
+  // or a lower one therefore succeeds without the leader.
   if (version <= replica_->config_version()) {
     done(absl::OkStatus());
     return;
--- a/src/control_quarantine.cc
+++ b/src/control_quarantine.cc
@@ -8,7 +8,8 @@
 namespace medlarwalk {
 namespace {
 
-// Minimum time between two saves of the quarantine. Crashes come in clusters.
+// Minimum time between two saves of the quarantine. Crashes come in clusters,
+// and one save covers several of them.
 constexpr auto kQuarantineSaveInterval = Millis(200);
 
 }  // namespace
--- a/src/control_watch.cc
+++ b/src/control_watch.cc
@@ -29,15 +29,15 @@
   return n;
 }
 
-// Returns the index of a follower among all serving processes, or that of the
-// first serving process behind it; -1 if unknown. The leader numbers its direct
-// serving followers first, then those of each control process that follows it.
-// Any other process numbers its followers from the index that the leader
-// assigned to it.
+// Returns the index of `follower` among all serving processes; -1 if unknown.
+// For a control process, this is the index of the first serving process that
+// follows it. The leader numbers its direct serving followers first, then those
+// of each control process that follows it. Any other process numbers its
+// followers from the index that the leader assigned to it.
 int Control::ServingIndexOf(const std::string& follower) const {
   int index = IsLeader() ? 0 : leader_serving_index_;
-  // A follower can be missing here although its watch is open: it timed out
-  // while this process was stalled.
+  // A follower with an open watch has no record here if it timed out while this
+  // process was stalled.
   auto record = followers_.find(follower);
   if (index < 0 || record == followers_.end()) return -1;
   bool serves = record->second.serves_callers;
@@ -62,8 +62,8 @@
   return it == data_centre_by_address_.end() ? "" : it->second;
 }
 
-// Returns the control processes, each with its data centre if known. Data
-// centres of followers come from their watches, the others from the leader.
+// Returns the control processes, each with its data centre if known. A
+// follower's data centre comes from its watch, any other from the leader.
 std::vector<ControlEndpoint> Control::ControlEndpoints() const {
   std::vector<std::string> addresses = announced_members_;
   if (replica_) {
@@ -107,7 +107,7 @@
                            {"from", c.ok() ? c->from : -1},
                            {"to", c.ok() ? c->to : -1}});
   }
-  // Version 0 requests the whole list after a change that does not apply.
+  // After a change that does not apply, version 0 requests the complete list.
   leader_watch_.state().list_version = applied ? list_history_.version() : 0;
   if (applied) AnswerWatches();
 }
@@ -177,10 +177,10 @@
 }
 
 // Returns whether this process may send its configuration to `w`. A follower
-// that holds no configuration yet would apply a stale one until it receives a
-// newer one. Such a follower is therefore sent only a version that the leader
-// has confirmed after the watch arrived, and nothing while crash records may be
-// missing here.
+// without a configuration would apply a stale one and keep it until a newer one
+// arrives. It is therefore sent only a version that the leader has confirmed
+// after the watch arrived. It is sent nothing while this process may lack crash
+// records.
 bool Control::MayPublishTo(const PendingWatch& w) const {
   if (w.request.config_version > 0) return true;
   return quarantine_complete_ && confirm_requested_at_ >= w.received_at &&
@@ -206,7 +206,8 @@
           list_history_.version() != w.request.list_version) ||
          quarantine_.version() != w.request.quarantine_version ||
          limits_.version() != w.request.limits_version);
-    // A follower that sent reports waits for the acknowledgment.
+    // A follower that sent reports waits for their acknowledgment, so its watch
+    // is answered without news.
     bool must_acknowledge = may_publish && w.has_reports;
     if (!has_news && !must_acknowledge && !out_of_sync && now < w.deadline) {
       keep.push_back(std::move(w));
--- a/src/control_wire.cc
+++ b/src/control_wire.cc
@@ -257,8 +257,8 @@
             {"b", r.limits_version}, {"r", r.place}};
   std::string head = ToCbor(j);
   // The documents are appended as the last pairs of the map, so that they need
-  // no copy. The first byte of a CBOR map holds its number of pairs, as long as
-  // that is below 24; there are fewer than 23.
+  // no copy. The first byte of a CBOR map holds its number of pairs if that is
+  // below 24; this map has fewer than 23 pairs.
   head[0] = static_cast<char>(head[0] + (r.config ? 1 : 0) + (r.list ? 1 : 0) +
                               (r.quarantine ? 1 : 0) + (r.limits ? 1 : 0));
   Payload out(std::move(head));
--- a/src/control_wire.h
+++ b/src/control_wire.h
@@ -23,16 +23,18 @@
 inline constexpr char kReplicaPath[] = "/replica";  // Replication messages.
 inline constexpr char kWatchPath[] = "/watch";      // Watch requests.
 inline constexpr char kSubmitPath[] = "/submit";    // Submits a configuration.
-inline constexpr char kReadPath[] = "/read";        // Reads the newest one.
-inline constexpr char kHelloPath[] = "/hello";      // Announces the members.
-inline constexpr char kConfirmPath[] = "/confirm";  // Newest config version.
+inline constexpr char kReadPath[] = "/read";  // Reads the newest configuration.
+// Announces the group's members.
+inline constexpr char kHelloPath[] = "/hello";
+// Confirms the newest configuration version.
+inline constexpr char kConfirmPath[] = "/confirm";
 
-// Asks for everything newer than the versions that the follower holds. A
-// control process holds the request open for a while if nothing is newer.
+// Requests everything newer than the versions that the follower holds. If
+// nothing is newer, the control process holds the request open for a while.
 struct WatchRequest {
   std::string name;         // Name of the follower.
   std::string data_centre;  // Data centre of the follower.
-  std::string address;      // Where others can watch the follower, or "".
+  std::string address;      // Address where others can watch it, or "".
   bool serves_callers = false;
   // Serving processes that watch this follower directly.
   int serving_followers = 0;
@@ -67,14 +69,16 @@
   // leader, in ms; negative if it never was.
   int64_t age_ms = -1;
   int64_t config_version = 0;
-  Document config;  // Null unless newer than the follower's version.
-  // A ListChange; null if the follower holds this version.
+  Document config;  // Null unless it is newer than the follower's version.
+  // A ListChange; null if the follower holds the newest list.
   Document list;
   int64_t quarantine_version = 0;
-  // Encoded crash records; null if the follower holds this version.
+  // Encoded crash records; null if the follower holds the newest
+  // quarantine_version.
   Document quarantine;
   int64_t limits_version = 0;
-  // Encoded limits of upstreams; null if the follower holds this version.
+  // Encoded limits of upstreams; null if the follower holds the newest
+  // limits_version.
   Document limits;
   // Time since the upstream list was read from its source, in ms; negative if
   // it was never read.
@@ -82,25 +86,25 @@
   // Time between two reads of the upstream list, in ms.
   int64_t list_interval_ms = 0;
   int serving = 0;  // Number of known processes that serve callers.
-  // Index of the follower among the serving processes. If the follower is a
-  // control process: index of the first serving process behind it. Negative if
-  // unknown.
+  // Index of the follower among the serving processes; negative if unknown. For
+  // a control process, this is the index of the first serving process that
+  // follows it.
   int place = -1;
   // All known control processes; empty if the follower knows the same ones.
   std::vector<ControlEndpoint> control;
   std::string leader;  // Address of the leader; "" if unknown.
   // The group's time, in Unix milliseconds; 0 if unknown.
   int64_t unix_ms = 0;
-  // Newest window whose usage is final, as is that of all windows before it; 0
-  // if there is none.
+  // Newest window for which its usage and that of all earlier windows is final;
+  // 0 if there is none.
   int64_t usage_fixed = 0;
 };
 
 // Encodes the addresses of the group's members. Members send them to seeds that
-// keep no state: after a start, such a process knows only its seeds.
+// keep no state, because such a process knows only its own seeds after a start.
 std::string EncodeHello(const std::vector<std::string>& control);
 absl::StatusOr<std::vector<std::string>> DecodeHello(absl::string_view bytes);
-// Encodes times as ages relative to `now`, because clocks of hosts differ.
+// Encodes times as ages relative to `now`, because the clocks of hosts differ.
 nlohmann::json CrashRecordsToJson(absl::Span<const CrashRecord> records,
                                   TimePoint now);
 // Throws nlohmann::json::exception on a malformed value.
--- a/src/crash_watch.cc
+++ b/src/crash_watch.cc
@@ -7,10 +7,11 @@
 namespace medlarwalk {
 namespace {
 
-// A running host answers a connection attempt within a round trip.
+// Connect timeout of a probe. A running host answers a connection attempt
+// within a round trip.
 constexpr auto kProbeTimeout = Millis(250);
-// A suspicion that is not confirmed by then is dropped: even a list that lags
-// shows a termination within seconds.
+// Time after which an unconfirmed suspicion is dropped. An upstream list that
+// lags still shows a termination within seconds.
 constexpr auto kSuspicionTimeout = std::chrono::seconds(10);
 
 }  // namespace
@@ -18,8 +19,8 @@
 void CrashWatch::RecordInterruptedCall(const std::string& upstream,
                                        const InterruptedCall& call) {
   const UpstreamBoard* u = pool_.Find(upstream);
-  // A draining upstream may terminate with requests in flight that are not the
-  // cause.
+  // Interruptions by a draining upstream are ignored: it may terminate with
+  // requests in flight that are not the cause.
   if (!u || u->info.leaving) return;
   suspects_[upstream].calls.push_back(call);
 }
@@ -49,8 +50,8 @@
   for (auto it = suspects_.begin(); it != suspects_.end();) {
     Suspect& s = it->second;
     const UpstreamBoard* u = pool_.Find(it->first);
-    // The pool notices by the second tick that its idle connections closed
-    // together with the interrupted one, so the probe starts then.
+    // The probe starts at the second tick. By then, the pool has noticed
+    // whether its idle connections closed together with the interrupted one.
     if (u && !s.probe && s.seen_by_tick) {
       s.probe = pool_.OpenProbe(*u, kProbeTimeout);
     }
--- a/src/crash_watch.h
+++ b/src/crash_watch.h
@@ -31,7 +31,7 @@
   using OnCrash =
       std::function<void(const std::string& upstream, absl::string_view how,
                          const std::vector<InterruptedCall>& calls)>;
-  // Precondition: `pool` outlives this.
+  // Precondition: `pool` outlives this object.
   CrashWatch(UpstreamPool& pool, OnCrash on_crash)
       : pool_(pool), on_crash_(std::move(on_crash)) {}
 
@@ -41,8 +41,8 @@
   // Records that `upstream` has terminated, as shown by `how`. Reports a crash
   // if any call was interrupted.
   void RecordTermination(const std::string& upstream, absl::string_view how);
-  // Reports crashes of suspected upstreams that the pool's new list no longer
-  // contains.
+  // Reports crashes of suspected upstreams that are missing from the pool's new
+  // list.
   void OnListUpdate();
   // Probes suspected upstreams. Must be called every few tens of milliseconds.
   void Tick(TimePoint now);
@@ -51,13 +51,14 @@
   struct Suspect {
     std::vector<InterruptedCall> calls;
     bool seen_by_tick = false;  // An earlier Tick has seen this suspect.
-    // Shows whether the upstream still listens; null until opened.
+    // Link whose state shows whether the upstream still listens; null until
+    // opened.
     std::shared_ptr<UpstreamLink> probe;
   };
 
   UpstreamPool& pool_;
   OnCrash on_crash_;
-  std::map<std::string, Suspect> suspects_;  // By upstream id.
+  std::map<std::string, Suspect> suspects_;  // Suspects by upstream id.
 };
 
 }  // namespace medlarwalk
--- a/src/dialect.h
+++ b/src/dialect.h
@@ -30,10 +30,11 @@
   std::string path;
   int64_t prompt_tokens = 0;  // 0 if not stated by the caller.
   int64_t most_output_tokens = 0;
-  int64_t likely_output_tokens = 0;  // Caller's estimate; 0 if none.
+  int64_t likely_output_tokens = 0;  // Caller's estimate; 0 if there is none.
   std::vector<PromptPart> parts;
-  std::optional<int64_t> last_event;  // Answer resumes after this event.
-  // Override the route's kind and repeatability if set by the request.
+  // Id of the last event that the caller has; the answer resumes after it.
+  std::optional<int64_t> last_event;
+  // Values that the request sets override the route's kind and repeatability.
   std::optional<RequestKind> kind;
   std::optional<bool> repeatable;
   // If not 0, every attempt goes to the one upstream that this hash selects.
@@ -42,14 +43,17 @@
 
 // Facts that are added to a forwarded request.
 struct ForwardFacts {
-  std::string id;                      // Id of the request.
-  std::string upstream_id;             // Any other upstream must reject it.
+  std::string id;  // Id of the request.
+  // Id of the intended upstream; any other must reject the request.
+  std::string upstream_id;
   Duration patience{};                 // Remaining time that the caller waits.
   std::string account;                 // Client account; empty if none.
   std::optional<int> engine_priority;  // 0 is the most urgent.
-  std::optional<int64_t> last_event;   // Answer resumes after this event.
-  // Address of an engine that caches leading parts of the prompt. Copying them
-  // is cheaper than another prefill. Empty ip: none known.
+  // Id of the last event that the caller has; the answer resumes after it.
+  std::optional<int64_t> last_event;
+  // Address of an engine that caches leading parts of the prompt; its ip is
+  // empty if none is known. Copying cached parts is cheaper than another
+  // prefill.
   Endpoint copy_from;
 };
 
@@ -59,12 +63,12 @@
   // answers to requests.
   std::optional<std::string> echoed_id;
   bool not_run = false;  // The upstream states that it did not run the request.
-  bool other_upstream = false;  // A different upstream now has the address.
-  // Id of the upstream's termination that cut the answer short. Empty if no
-  // termination cut it short or none was observed.
+  bool other_upstream = false;  // Another upstream now has the address.
+  // Id of the upstream's termination that interrupted the answer. Empty if no
+  // termination was observed.
   std::string upstream_end;
   bool signed_whole = false;  // The answer has the upstream's signature.
-  // Whether the answer reports the upstream's load; if so, the numbers of
+  // Whether the answer reports the upstream's load, and if so, its numbers of
   // running and waiting requests.
   bool has_load = false;
   int running = 0;
@@ -73,8 +77,9 @@
   // processes together; nullopt if none.
   std::optional<double> limit_per_s;
   bool leaving = false;  // The upstream is draining.
-  // Backoff requested by the upstream: it rejects the request and this process
-  // must send nothing to it for so long. Zero if none is requested.
+  // Backoff requested by the upstream that rejects the request: time for which
+  // this process must send nothing to the upstream. Zero if no backoff is
+  // requested.
   Duration rest{};
 };
 
--- a/src/gateway.cc
+++ b/src/gateway.cc
@@ -11,14 +11,15 @@
 namespace medlarwalk {
 namespace {
 
-// Number of entry processes assumed until control publishes the real one. An
-// estimate that is too high is safe for the shared limits.
+// Number of entry processes assumed until control publishes the real one. If
+// the estimate is too high, this process uses less than its share of the shared
+// limits.
 constexpr int kAssumedEntryCount = 8;
 // Longest time that a request waits for the first configuration or for a newer
 // one.
 constexpr auto kMaxConfigWait = Millis(900);
-// How long after its prefill a prompt part is assumed to be cached at the
-// engine, and how many prompt parts are remembered at most.
+// Time after a prefill for which the engine is assumed to cache the prompt
+// part, and maximum number of prompt parts remembered.
 constexpr auto kPrefixHolderTrust = std::chrono::seconds(12);
 constexpr size_t kMaxRememberedParts = 4096;
 
@@ -124,7 +125,7 @@
   Request& r = *owned;
   r.seq = next_seq_++;
   r.exchange = std::move(ex);
-  // The request is rejected at this time unless Admit sets its own deadline.
+  // Deadline of a request for which Admit sets none.
   r.deadline = r.exchange->arrived + kMaxConfigWait;
   r.deadline_entry = deadlines_.emplace(r.deadline, r.seq);
   requests_[r.seq] = std::move(owned);
@@ -132,7 +133,7 @@
   r.exchange->set_on_gone([this, seq] { OnCallerDisconnect(seq); });
   if (!config_) {
     // A process that has just started receives a configuration within a moment.
-    // Waiting for it costs the caller less than a retry.
+    // For the caller, waiting for it is cheaper than a retry.
     awaiting_config_.push_back(r.seq);
     return;
   }
@@ -155,8 +156,9 @@
 
 // Returns whether a newer configuration may allow a request that this one
 // rejects with `rejection`. An entry process whose event loop was blocked for
-// seconds finds requests that were sent long after a route was added. Callers
-// that get "no such route" never retry.
+// seconds finds requests that were sent long after a route was added. They must
+// wait for the newer configuration, because callers that get "no such route"
+// never retry.
 bool Gateway::ConfigMayBeOutdated(const absl::Status& rejection) const {
   ErrorKind kind = KindOf(rejection);
   bool depends_on_config =
@@ -260,8 +262,8 @@
 }
 
 bool Gateway::TrySend(Request& r) {
-  // The tier guard holds back first attempts only: a request that has begun
-  // continues even if more urgent requests wait.
+  // The tier guard holds back first attempts only. A request that has already
+  // been sent continues even if more urgent requests wait.
   if (r.sends == 0 &&
       !TierGuardFor(r.service->name).Admits(r.tier, clock_.Now())) {
     return false;
@@ -283,7 +285,7 @@
     if (b.info.service != r.service->name) continue;
     b.no_turn = b.limit_per_s && !HasSendSlot(b, now);
     // Each request of this process at an upstream holds one connection. With
-    // fewer requests than the limit there is a free connection, so the scan of
+    // fewer requests than `limit` there is a free connection, so the scan of
     // the idle connections is skipped.
     b.full = b.in_flight >= limit && pool_.AtConnectionLimit(b, limit);
     if (r.shape != WorkShape::kDecode || b.full) continue;
@@ -411,7 +413,7 @@
 
 void Gateway::CancelAttempt(Request& r) {
   if (r.upstream.empty()) return;
-  ++r.attempt;  // Late callbacks of the attempt have no effect.
+  ++r.attempt;  // Late callbacks of the old attempt have no effect.
   r.connection->Cancel();
   ReleaseUpstream(r);
 }
--- a/src/gateway.h
+++ b/src/gateway.h
@@ -47,12 +47,13 @@
   // together. The remainder is for entry processes that have just started or
   // that are no longer counted but still running.
   double connection_share = 0.8;
-  // How long the configuration counts as current after control last confirmed
-  // it (NoteInStep). Within this time a request that the configuration does not
-  // allow gets a final rejection. If zero, the rejection is always final.
+  // Time for which the configuration counts as current after control last
+  // confirmed it (NoteInStep). Within this time, a request that the
+  // configuration does not allow gets a final rejection; later, it waits for a
+  // newer configuration. If zero, the rejection is always final.
   Duration config_trust{};
   // Called when a request of `account` has begun to run at an upstream, as far
-  // as the answer shows. May be empty.
+  // as this shows in the answer. May be empty.
   std::function<void(const std::string& account)> on_request_run;
   // Returns the time that all processes share, counted from an arbitrary epoch.
   // If empty, the local clock is used.
@@ -75,11 +76,12 @@
   // Installs a newer configuration. Requests in flight keep the configuration
   // they were admitted with.
   void SetConfig(std::shared_ptr<const RoutingConfig> config);
-  // Records that the configuration in force here was the newest one at `as_of`.
+  // Records that the configuration of this process was the newest one at
+  // `as_of`.
   void NoteInStep(TimePoint as_of);
   void SetUpstreams(absl::Span<const UpstreamInfo> upstreams);
-  // Sets how many entry processes share the upstreams and the retry budgets,
-  // and the index of this process among them (negative: not known).
+  // Sets the number of entry processes that share the upstreams and the retry
+  // budgets, and the index of this process among them (negative if unknown).
   void SetServing(int entry_count, int index = -1);
   // Returns the quarantine of crash-inducing requests, which are not sent to
   // any upstream.
@@ -185,9 +187,9 @@
   WaitingRoom wait_queue_;
   int entry_count_;
   // Entry count and index that determine the send slots of this process, and
-  // when the count was last set. A lower count is adopted only after a delay:
-  // while control processes change, some entry processes are not counted for a
-  // moment, and this process would use too many slots.
+  // when the count was last set. A lower count is adopted only after a delay.
+  // While control processes change, some entry processes are not counted for a
+  // moment, and with the lower count this process would use too many slots.
   TurnPlace send_slot_share_;
   TimePoint send_slot_share_set_at_{};
   // Requests that wait for the first configuration or for a newer one.
@@ -196,21 +198,23 @@
   std::unordered_map<uint64_t, RequestPtr> requests_;
   std::multimap<TimePoint, uint64_t> deadlines_;
   std::map<std::string, RetryBudget> retry_budgets_;
-  // When a request to the service was last answered, by service.
+  // Time when a request to the service was last answered, by service.
   std::map<std::string, TimePoint> last_answered_at_;
   // Demand for long generations as seen by this process, by service; only
   // services with engines.
   std::map<std::string, DecodeDemand> decode_demand_;
   // Number of engines kept for long generations, by service.
   std::map<std::string, int> decode_engines_;
-  std::map<std::string, ReadingGate> prefill_limiters_;  // By service.
-  std::map<std::string, TierGuard> tier_guards_;         // By service.
+  // Prefill limiters by service.
+  std::map<std::string, ReadingGate> prefill_limiters_;
+  std::map<std::string, TierGuard> tier_guards_;  // Tier guards by service.
   // Number of waiting requests as last set in the metrics, by metric label.
   std::map<std::string, int> reported_waiting_;
   TimePoint demand_updated_at_{};
   uint64_t next_seq_ = 1;
   bool dispatching_waiting_ = false;
-  // Decode paces or the upstream list changed since slow engines were marked.
+  // Whether decode paces or the upstream list changed since slow engines were
+  // last marked.
   bool decode_paces_changed_ = false;
   bool draining_ = false;
 };
--- a/src/gateway_answer.cc
+++ b/src/gateway_answer.cc
@@ -9,8 +9,8 @@
 namespace medlarwalk {
 namespace {
 
-// Largest buffered answer. Answers that are not streams are buffered until they
-// are complete.
+// Maximum size of a buffered answer. Answers that are not streams are buffered
+// until they are complete.
 constexpr size_t kMaxHeldAnswerBytes = 4 << 20;
 // Unsent bytes at which reading from the upstream pauses until the caller has
 // read them all.
@@ -52,9 +52,10 @@
   return true;
 }
 
-// Counts a request of a client account that has begun to run, once regardless
-// of retries. An engine has begun a request when its first token or its failure
-// answer arrives; a plain service has begun it before it answers.
+// Counts a request of a client account once when it has begun to run,
+// regardless of retries. A request to an engine has begun when its first token
+// or its failure answer arrives. A request to a plain service has begun before
+// the service answers.
 void Gateway::CountAccountRun(Request& r) {
   if (r.run_counted || !options_.on_request_run || r.account.empty()) return;
   r.run_counted = true;
@@ -110,12 +111,13 @@
   NoteFirstEvent(*u, elapsed, r.route->latency_target, options_.placement);
 }
 
-// Relays one event to the caller. Returns false if the event does not follow
-// the previous one.
+// Relays one event to the caller. Returns false if the event's id is not the
+// successor of the last relayed one.
 bool Gateway::RelayEvent(Request& r, absl::string_view event) {
   std::optional<int64_t> id = EventId(event);
   if (id && r.last_event) {
-    // A resumed run repeats events that the caller already has.
+    // After a resumption, the upstream repeats events that the caller already
+    // has.
     if (*id <= *r.last_event) return true;
     if (*id != *r.last_event + 1) return false;
   }
@@ -158,7 +160,7 @@
 }
 
 // Records the decode pace as a mean over a few consecutive events. Single gaps
-// are no measure, because the network delays events unevenly.
+// vary too much, because the network delays events unevenly.
 void Gateway::RecordDecodePace(Request& r, TimePoint now) {
   constexpr int kPaceWindowEvents = 8;
   if (r.pace_window_start < r.sent_at) {
@@ -204,7 +206,8 @@
   last_answered_at_[r.service->name] = now;
   ReleaseUpstream(r);
   if (r.stream_started && !r.relaying) {
-    // The head of the stream was already sent, so no other answer can follow.
+    // The caller already has the head of the stream, so no other answer can
+    // follow.
     FailRequest(r, ErrorKind::kOutcomeUnknown,
                 absl::StrCat("status ", r.answer.status, " on resuming"));
     DispatchWaiting();
@@ -213,7 +216,8 @@
   if (r.stream_started) {
     r.exchange->Finish();
   } else {
-    // Also covers a stream that ended without events, which is complete.
+    // This branch also handles a stream that ended without events, which is
+    // complete.
     RespondWithHeldAnswer(r);
   }
   FinishRequest(r, "answered", absl::StrCat(r.answer.status));
--- a/src/gateway_failure.cc
+++ b/src/gateway_failure.cc
@@ -10,16 +10,17 @@
 namespace medlarwalk {
 namespace {
 
-// Shortest time to the deadline at which a request is sent again.
+// Minimum time left until the deadline for a request to be sent again.
 constexpr auto kMinTimeToRetry = Millis(20);
-// Retry-After sent before any load is known (also its lower bound), its random
-// spread and its upper bound. Without the spread, callers rejected at the same
-// moment would return together.
+// Retry-After in seconds before any load is known, which is also its lower
+// bound; its random spread; its upper bound in seconds. Without the spread,
+// callers rejected at the same moment would return together.
 constexpr double kMinRetryAfterSeconds = 0.3;
 constexpr double kRetryAfterSpread = 0.5;
 constexpr double kMaxRetryAfterSeconds = 3;
-// A request counts as just begun for this long after the answer's head arrived,
-// or after it was sent if no head has arrived.
+// A request counts as just begun for this long after the answer's head has
+// arrived. If no head has arrived, the time counts from the sending of the
+// request.
 constexpr auto kJustBegunWindow = Millis(500);
 // Retry-After for callers that another entry process can serve at once.
 constexpr auto kDrainRetryAfter = Millis(20);
@@ -52,7 +53,8 @@
   if (r.exchange->gone() || r.deadline - now < kMinTimeToRetry) return false;
   // A quarantined request would crash the next upstream too.
   if (quarantine_.Refuses(r.fingerprint)) return false;
-  // Waiting for a slot helps only if some upstream has not been tried.
+  // Waiting for a slot helps only if there is an upstream that the request has
+  // not tried.
   bool upstream_left = AnyLeft(pool_.boards(), PlacementInputFor(r));
   if (end == CallEnd::kNotSent) {
     // Nothing reached the upstream, so the failure costs neither an attempt nor
@@ -72,8 +74,8 @@
   return true;
 }
 
-// Records a termination of the upstream, or a suspicion of one, if the end of
-// the attempt points to it.
+// Records that the upstream has terminated, or may have terminated, if the way
+// in which the attempt ended shows or suggests that.
 void Gateway::CheckForUpstreamTermination(const Request& r, CallEnd end) {
   bool answered = r.have_head && end == CallEnd::kWhole;
   TimePoint now = clock_.Now();
@@ -146,7 +148,7 @@
   CheckForUpstreamTermination(r, end);
   if (end != CallEnd::kNotSent && !not_run) {
     r.may_have_run = true;
-    // A plain service whose answer was lost has usually run the request.
+    // A plain service whose answer was lost has usually executed the request.
     if (!r.service->engine) CountAccountRun(r);
   }
   LogEvent("attempt_failed",
@@ -207,9 +209,9 @@
 }
 
 // Reports to the tier guard a request rejected for lack of capacity, unless no
-// upstream is usable. In an outage no request takes the slot of another, and
-// requests of less urgent tiers need not wait for the guard to forget the
-// rejections once the outage is over.
+// upstream is usable. In an outage no request takes the slot of another. If
+// such rejections were reported, less urgent tiers would be held back after the
+// outage until the guard forgets them.
 void Gateway::RecordCapacityRejection(const Request& r) {
   TimePoint now = clock_.Now();
   NoPlaceCounts n = CountNoPlace(pool_.boards(), PlacementInputFor(r), now,
@@ -218,7 +220,7 @@
   TierGuardFor(r.service->name).NoteTurnedAway(r.tier, now);
 }
 
-// Sends the final answer of a request that gets none from an upstream.
+// Sends the final answer of a request for which there is no upstream's answer.
 void Gateway::FailRequest(Request& r, ErrorKind kind, absl::string_view why) {
   const Answer& a = AnswerFor(kind);
   if (r.stream_started) {
--- a/src/gateway_limits.cc
+++ b/src/gateway_limits.cc
@@ -10,7 +10,7 @@
 namespace {
 
 // Delay before a lower number of entry processes is adopted. While control
-// processes change, some of their followers are not counted for a moment.
+// processes change, some entry processes are not counted for a moment.
 constexpr auto kFewerEntriesDelay = std::chrono::seconds(5);
 
 }  // namespace
@@ -26,9 +26,10 @@
   if (index >= 0) send_slot_share_.place = index;
 }
 
-// Records the rate limit that an answer announces, or the end of the limit if
-// the answer announces none. Only an answer with the upstream's signature ends
-// a limit: an answer damaged on its way may lack the limit header too.
+// Records the rate limit that an answer announces, or the end of the rate limit
+// if the answer announces none. The end is recorded only if the answer has the
+// upstream's signature, because an answer damaged in transit may also lack the
+// limit header.
 void Gateway::RecordAnnouncedLimit(const Request& r, const UpstreamBoard& u,
                                    const AnswerFacts& f) {
   if (f.other_upstream || (!f.limit_per_s && !f.signed_whole)) return;
@@ -64,7 +65,7 @@
   if (limits_.changes() != before) ApplyLimitsToBoards();
 }
 
-// Copies the known limit of each upstream to its board.
+// Copies the known rate limit of each upstream to its board.
 void Gateway::ApplyLimitsToBoards() {
   limit_changes_applied_ = limits_.changes();
   for (UpstreamBoard& u : pool_.boards()) {
--- a/src/gateway_request.h
+++ b/src/gateway_request.h
@@ -13,12 +13,12 @@
 
 namespace medlarwalk {
 
-// Connect timeouts of one request, one per connection attempt; failed
+// Connect timeouts of one request, one per connection attempt. Failed
 // connection attempts do not count as attempts of the request. A running host
-// answers within a round trip; a host without power never does, and a request
-// must not spend its latency target on that host. The last timeouts grow until
-// they exceed the second after which the kernel retransmits a lost first
-// packet: if all shorter ones expire, the network is slow.
+// answers within a round trip. A host without power never answers, and a
+// request must not spend its latency target on that host. The last timeouts
+// grow until they exceed the second after which the kernel retransmits a lost
+// first packet: if all shorter timeouts expire, the network is slow.
 inline constexpr std::array<Millis, 4> kConnectTimeouts = {
     Millis(250), Millis(250), Millis(600), Millis(1200)};
 
@@ -27,42 +27,47 @@
   uint64_t seq = 0;
   std::shared_ptr<CallerExchange> exchange;
   RequestFacts facts;
-  std::shared_ptr<const RoutingConfig> config;  // Keeps `route` alive.
+  // Keeps the object of `route` alive.
+  std::shared_ptr<const RoutingConfig> config;
   const RouteRule* route = nullptr;
   const ServiceRule* service = nullptr;
   std::string account;
   RequestPrint fingerprint = 0;
   Tier tier = 0;
-  Tier rank = 0;  // Priority by tier, then by the account's tier.
+  // Priority, from the request's tier and then the account's tier.
+  Tier rank = 0;
   uint64_t affinity = 0;
   int64_t shared_tokens = 0;
   WorkShape shape = WorkShape::kPlain;
-  // Number of engines kept for long generations at the last placement.
+  // Number of engines that were kept for long generations when the request was
+  // last placed.
   int decode_engines = 0;
   TimePoint deadline{};
   std::multimap<TimePoint, uint64_t>::iterator deadline_entry;
   bool waiting = false;
-  TimePoint starving_from{};    // Valid while `waiting`.
-  bool may_have_run = false;    // Some upstream may have run the request.
-  bool run_counted = false;     // on_request_run was called for this request.
-  int sends = 0;                // Times it was sent to an upstream.
-  size_t connect_failures = 0;  // Connection attempts that failed.
-  std::vector<std::string> tried;  // Ids of the upstreams tried.
-  // The current attempt.
+  TimePoint starving_from{};  // Valid while `waiting`.
+  bool may_have_run = false;  // Some upstream may have run the request.
+  bool run_counted = false;   // on_request_run was called for this request.
+  int sends = 0;  // Number of times the request was sent to an upstream.
+  size_t connect_failures = 0;     // Number of failed connection attempts.
+  std::vector<std::string> tried;  // Ids of the upstreams already tried.
+  // State of the current attempt.
   int attempt = 0;
-  std::string upstream;  // Empty if there is no attempt.
+  std::string upstream;  // Empty if there is no current attempt.
   std::shared_ptr<UpstreamLink> connection;
   TimePoint sent_at{};
   TimePoint progress_at{};
-  TimePoint head_at{};  // When the answer's head arrived.
+  TimePoint head_at{};  // Time when the answer's head arrived.
   MessageHead answer;
   AnswerFacts answer_facts;
-  std::string held_body;  // Buffered body of an answer that is not relayed.
+  // Buffered body of an answer that is not relayed while it arrives.
+  std::string held_body;
   bool have_head = false;
-  bool prefill_pending = false;  // Counted as a pending prefill at `upstream`.
+  // Whether the request is counted in the pending prefills of `upstream`.
+  bool prefill_pending = false;
   // State of a streamed answer.
   bool relaying = false;  // Events of this attempt are relayed to the caller.
-  bool stream_started = false;  // The caller has the answer's head.
+  bool stream_started = false;  // The caller has received the answer's head.
   EventSplitter splitter;
   std::optional<int64_t> last_event;
   // How the end of a complete answer was detected; for the log.
@@ -70,10 +75,11 @@
   int events = 0;
   TimePoint first_event_at{};
   TimePoint last_event_at{};
-  // Window of events from which the upstream's decode pace is measured.
+  // Start of the window of events over which the upstream's decode pace is
+  // measured.
   TimePoint pace_window_start{};
-  int pace_window_events = 0;  // Events since pace_window_start.
-  // Longest gap between events, and the upstream whose event ended it.
+  int pace_window_events = 0;  // Number of events since pace_window_start.
+  // Longest gap between events, and the upstream of the event after that gap.
   Duration longest_gap{};
   std::string longest_gap_upstream;
 
--- a/src/gateway_timers.cc
+++ b/src/gateway_timers.cc
@@ -12,14 +12,15 @@
 namespace medlarwalk {
 namespace {
 
-// A stream without progress is retried at another upstream, if allowed, after
-// this many inter-token targets, or before its first event after this many
-// latency targets, but no sooner than kMinStreamStall.
+// Time without progress, in inter-token targets, after which a stream is
+// retried at another upstream if allowed. Before the first event, the time is
+// counted in latency targets instead. In both cases it is at least
+// kMinStreamStall.
 constexpr int kStallInterTokenTargets = 6;
 constexpr int kStallFirstEventTargets = 2;
 constexpr auto kMinStreamStall = Millis(1000);
-// A repeatable plain request is retried at another upstream after this many
-// latency targets without an answer, but no sooner than kMinPlainStall.
+// Time without an answer, in latency targets, after which a repeatable plain
+// request is retried at another upstream. It is at least kMinPlainStall.
 constexpr int kPlainStallLatencyTargets = 3;
 constexpr auto kMinPlainStall = Millis(300);
 // Smoothing time of the demand for long generations. Without smoothing, a few
@@ -37,9 +38,8 @@
     // A request that cannot be placed does not block the requests behind it in
     // the queue.
     TimePoint now = clock_.Now();
-    // Keys of requests that could not be placed in this pass. A key holds all
-    // properties that decide placement, so a request with the same key is
-    // skipped.
+    // Properties that decide placement, of the requests that could not be
+    // placed in this pass. Other requests with equal properties are skipped.
     std::set<std::tuple<Tier, bool, WorkShape, uint64_t>> unplaceable;
     for (uint64_t seq : wait_queue_.InOrder(service, now)) {
       Request& r = *requests_.at(seq);
--- a/src/link_pool.h
+++ b/src/link_pool.h
@@ -25,14 +25,14 @@
   // Returns the link to `address` ("ip:port"). Opens it on first use.
   H2Client& LinkTo(const std::string& address);
 
-  // Receives the HTTP status and body of an answer. The status is 0 if no
+  // Called with the HTTP status and body of an answer. The status is 0 if no
   // complete answer arrived.
   using Done = std::function<void(int status, const std::string& body)>;
   // Posts `body` and returns a handle for H2Client::Cancel, or 0. Calls
   // `progress` whenever a part of the answer has arrived.
   int32_t Post(const std::string& address, absl::string_view path, Payload body,
                Done done, std::function<void()> progress = nullptr);
-  // Returns the bytes of calls on all links that are queued to be sent.
+  // Returns the number of queued bytes of calls on all links.
   size_t queued_bytes() const;
 
  private:
--- a/src/lister.cc
+++ b/src/lister.cc
@@ -11,10 +11,10 @@
 namespace {
 
 constexpr auto kConnectTimeout = Millis(500);
-// Time limit of a page. A page that takes longer fails the whole read.
+// Time limit for one page. A page that takes longer fails the complete read.
 constexpr auto kPageTimeout = Millis(1000);
-// Time limit of a read over all its pages. After this time, the contents of the
-// first pages are too old.
+// Time limit for reading all pages. After this time, the contents of the first
+// pages are outdated.
 constexpr auto kReadTimeout = std::chrono::seconds(3);
 // Delay before retrying a page that the source rejected for its rate limit. The
 // source rejects all calls for the rest of the second. A read that restarted
@@ -23,13 +23,14 @@
 // calls per second.
 constexpr auto kRetryDelay = Millis(150);
 constexpr int kHttpTooManyRequests = 429;
-// Time between two reads: minimum, maximum, and amount per listed upstream.
+// Time between two reads: minimum, maximum, and increase per listed upstream.
 constexpr Duration kMinInterval = Millis(600);
 constexpr Duration kMaxInterval = Millis(1500);
 constexpr Duration kIntervalPerUpstream = std::chrono::microseconds(500);
-// Share of the calls accepted by the source that reads may use.
+// Maximum share of the calls accepted by the source that reads may use.
 constexpr double kMaxCallShare = 0.5;
-// A list with more pages than this is treated as a loop in the source.
+// Maximum number of pages. A list with more pages is treated as a loop in the
+// source.
 constexpr int kMaxPages = 200;
 
 }  // namespace
--- a/src/lister.h
+++ b/src/lister.h
@@ -22,7 +22,7 @@
 // One page of the list.
 struct ListPage {
   std::vector<UpstreamInfo> upstreams;
-  std::string next;  // Token of the next page; empty on the last page.
+  std::string next;  // Token of the next page; empty for the last page.
   int unusable = 0;  // Number of entries that do not describe an upstream.
 };
 
@@ -89,13 +89,14 @@
   int pages_read_ = 0;  // Pages received in the current read.
   ListLength length_;
   int unusable_entries_ = 0;  // Unusable entries in the current read.
-  int logged_unusable_ = 0;   // Number of unusable entries logged last.
+  int logged_unusable_ = 0;  // Number of unusable entries at the last log line.
   int status_ = 0;
   std::string body_;
   TimePoint read_began_at_{};
-  TimePoint page_requested_at_{};  // When the last page was requested.
-  std::string deferred_token_;     // Token of a page that the source rejected.
-  // When to retry the rejected page; the epoch if there is none.
+  TimePoint page_requested_at_{};  // Time when the last page was requested.
+  // Token of a page that the source rejected; it is retried.
+  std::string deferred_token_;
+  // Time at which to retry the rejected page; the epoch if there is none.
   TimePoint retry_at_{};
   std::minstd_rand random_;
 };
--- a/src/loop_order.h
+++ b/src/loop_order.h
@@ -17,7 +17,7 @@
 inline constexpr int kLinkPriority = 1;
 inline constexpr int kTimerPriority = -1;
 
-// Calls ev_timer_init and gives the timer the priority of timers.
+// Calls ev_timer_init and sets the priority that all timers have.
 template <typename Callback>
 void InitTimer(ev_timer* timer, Callback callback, double after,
                double repeat) {
--- a/src/loop_watch.cc
+++ b/src/loop_watch.cc
@@ -8,7 +8,8 @@
 namespace medlarwalk {
 namespace {
 
-// Iterations that take at least this long are logged, at most one per second.
+// Minimum duration of an iteration that is logged, and minimum time between two
+// such log lines.
 constexpr auto kSlowIteration = Millis(250);
 constexpr auto kLogInterval = std::chrono::seconds(1);
 
@@ -17,8 +18,8 @@
 LoopWatch::LoopWatch(struct ev_loop* loop, const Clock& clock,
                      std::function<void(Duration)> on_iteration)
     : loop_(loop), clock_(clock), on_iteration_(std::move(on_iteration)) {
-  // The check watcher runs first after the loop's wait; the prepare watcher
-  // runs last before the next wait.
+  // The check watcher runs before all others after the loop's wait. The prepare
+  // watcher runs after all others before the next wait.
   ev_check_init(&check_, OnCheck);
   ev_set_priority(&check_, EV_MAXPRI);
   check_.data = this;
--- a/src/loop_watch.h
+++ b/src/loop_watch.h
@@ -16,7 +16,7 @@
 class LoopWatch {
  public:
   // `on_iteration` is called after each iteration with its duration; may be
-  // empty. Precondition: `loop` and `clock` outlive this.
+  // empty. Precondition: `loop` and `clock` outlive this object.
   LoopWatch(struct ev_loop* loop, const Clock& clock,
             std::function<void(Duration)> on_iteration);
   ~LoopWatch();
@@ -25,8 +25,8 @@
 
   // Returns when the current iteration began, after the loop's wait.
   TimePoint iteration_started() const { return iteration_started_; }
-  // Returns the longest iteration of this second and the previous one,
-  // including the current iteration.
+  // Returns the duration of the longest iteration in the current and the
+  // previous second, including the current iteration.
   Duration longest() const;
 
  private:
@@ -41,8 +41,8 @@
   ev_prepare prepare_{};
   TimePoint iteration_started_{};
   bool in_iteration_ = false;
-  // Start of the current second, and the longest iterations of it and of the
-  // second before.
+  // Start of the current second, and the longest iterations of the current and
+  // the previous second.
   TimePoint second_started_{};
   Duration longest_this_second_{};
   Duration longest_last_second_{};
--- a/src/quarantine_store.h
+++ b/src/quarantine_store.h
@@ -1,5 +1,6 @@
-// Storage of crash records: one file with a checksum, replaced as a whole.
-// After a power loss everywhere, no process has crash records in memory.
+// Storage of crash records: one file with a checksum, which each save replaces
+// completely. The file is needed after a power loss of all hosts, when no
+// process has crash records in memory.
 #ifndef MEDLARWALK_QUARANTINE_STORE_H_
 #define MEDLARWALK_QUARANTINE_STORE_H_
 
--- a/src/replica.cc
+++ b/src/replica.cc
@@ -8,16 +8,16 @@
 namespace medlarwalk {
 namespace {
 
-// Entries are sent again if no reply arrives within this time. Longer than the
+// Time without a reply after which entries are sent again. Longer than the
 // round trip of a link that loses a packet.
 constexpr auto kResendAfter = Millis(500);
-// A voter without contact to a leader for this long sends join requests,
-// because it may have been removed from the group while it was partitioned.
+// Time without contact to a leader after which a voter sends join requests. It
+// may have been removed from the group while it was partitioned.
 constexpr auto kRejoinAfter = Millis(1500);
 // Delay before the next compaction after a snapshot could not be written.
 constexpr auto kCompactionRetryDelay = std::chrono::seconds(1);
-// Number of rounds whose send time is stored. A link never has this many rounds
-// in flight.
+// Number of rounds whose send time is stored. Fewer rounds than this are in
+// flight on a link.
 constexpr size_t kMaxRoundSentTimes = 256;
 
 size_t EntryBytes(const LogEntry& e) {
@@ -114,9 +114,10 @@
 }
 
 TimePoint Replica::QuorumContactTime() const {
-  // Each voter confirmed this leader no earlier than it was sent the newest
-  // round that it has answered. The quorum-th newest of these send times is the
-  // latest time at which a quorum is known to have followed this leader.
+  // Each voter has followed this leader at least until the leader sent the
+  // newest round that the voter answered. The quorum-th newest of these send
+  // times is the latest time at which a quorum is known to have followed this
+  // leader.
   std::vector<TimePoint> contact_times;
   for (const Member& m : members_) {
     if (m.id == self_.id) {
@@ -218,7 +219,7 @@
     ReplicaMessage m = MakeMessage(ReplicaMessage::Type::kInstallSnapshot);
     m.round = round_;
     m.commit_index = commit_index_;
-    // While a snapshot is in flight, send only the round.
+    // While a snapshot is in flight, the message carries only the round.
     if (peer.in_flight_through == 0) {
       m.snapshot = snapshot_;
       peer.in_flight_through = snapshot_.index;
@@ -366,9 +367,9 @@
   return true;
 }
 
-// Records that this follower is up to date, if it is. A leader that has
-// committed an entry of its own term knows every committed entry, so a follower
-// that has committed as much is up to date.
+// Records the time if this follower is up to date. A leader that has committed
+// an entry of its own term knows every committed entry. A follower that has
+// committed all that such a leader has committed is up to date.
 void Replica::RecordIfUpToDate(const ReplicaMessage& m) {
   if (commit_index_ >= m.commit_index && TermAt(m.commit_index) == m.term) {
     up_to_date_at_ = clock_.Now();
@@ -381,7 +382,7 @@
   reply.index = LastLogIndex();
   if (m.index > LastLogIndex() ||
       (m.index > snapshot_.index && TermAt(m.index) != m.log_term)) {
-    // Tell the leader the last index that may still match.
+    // The reply holds the last index at which the logs may still match.
     reply.index = std::min(LastLogIndex(), m.index > 0 ? m.index - 1 : 0);
     return reply;
   }
@@ -491,7 +492,7 @@
     if (behind && peer.in_flight_through == 0) ReplicateTo(peer);
   } else if (uint64_t next_index = std::max(m.index, peer.match_index) + 1;
              next_index < peer.next_index) {
-    // The peer lacks entries before the ones sent to it.
+    // The peer lacks entries before those in flight.
     peer.next_index = next_index;
     peer.in_flight_through = 0;
     ReplicateTo(peer);
@@ -539,8 +540,9 @@
 }
 
 void Replica::MaybeCompactLog() {
-  // A snapshot writes the newest configuration again. Compacting only after
-  // twice its size was logged keeps snapshots the smaller part of all writes.
+  // A snapshot writes the newest configuration again. The log is compacted only
+  // after twice the size of that configuration was logged, so that snapshots
+  // are the smaller part of all writes.
   size_t min_bytes =
       std::max(options_.compact_bytes, 2 * (config_ ? config_->size() : 0));
   if (applied_index_ - snapshot_.index < options_.compact_entries &&
@@ -568,7 +570,8 @@
   absl::Status status = store_.Rewrite(state);
   if (!status.ok()) {
     LogWarn("store_failed", {{"op", "compact"}, {"error", status.message()}});
-    // Do not retry at each entry: the disk may be slow or full.
+    // Compaction is not retried at each entry, because the disk may be slow or
+    // full.
     compact_not_before_ = clock_.Now() + kCompactionRetryDelay;
     return;
   }
--- a/src/replica.h
+++ b/src/replica.h
@@ -25,8 +25,9 @@
 
 namespace medlarwalk {
 
-// One control process. An empty store gets a new random id, so that a host that
-// lost its disk cannot vote under its old identity without its old log.
+// One control process of the group. A process with an empty store gets a new
+// random id, so that a host that lost its disk cannot vote under its old
+// identity without its old log.
 struct Member {
   std::string id;
   std::string address;  // "ip:port" for messages between control processes.
@@ -42,7 +43,7 @@
   uint64_t term = 0;
   EntryKind kind = EntryKind::kNoop;
   Document config;      // kConfig only: the compressed document; never null.
-  int64_t version = 0;  // kConfig only: version of `config`.
+  int64_t version = 0;  // kConfig only: version of the document.
   std::vector<Member> members;  // kMembers only: the new voters.
   DutyRecord duty;              // kDuty only.
 };
@@ -87,7 +88,7 @@
     kVoteReply,
     kAppend,
     kAppendReply,
-    kInstallSnapshot,  // Carries a whole snapshot; answered by kAppendReply.
+    kInstallSnapshot,  // Carries a complete snapshot; answered by kAppendReply.
     kJoin,
     kJoinReply,
   };
@@ -97,8 +98,8 @@
   bool pre_vote = false;
   bool ok = false;
   // kVoteRequest: last log index of the candidate. kAppend: index of the entry
-  // before `entries`. kAppendReply: last matching index if `ok`, else the
-  // last index that may still match.
+  // before `entries`. kAppendReply: last matching index if `ok`; otherwise the
+  // last index at which the logs may still match.
   uint64_t index = 0;
   uint64_t log_term = 0;      // Term of the log entry at `index`.
   uint64_t commit_index = 0;  // Commit index of the leader.
@@ -114,27 +115,27 @@
   // Interval between heartbeats, which are appends without entries.
   Duration heartbeat = Millis(100);
   // A follower starts an election if it receives nothing from a leader for a
-  // random time in [min, 2 x min]. A leader steps down after min without
-  // contact with a quorum.
+  // random time in [T, 2 x T], where T is this value. A leader steps down after
+  // T without contact with a quorum.
   Duration election_timeout_min = Millis(600);
-  // The first election timeout after a start is a random time in
-  // [this, 2 x this]. It is short because no leader is known yet, and after a
+  // The first election timeout after a start is a random time in [T, 2 x T],
+  // where T is this value. It may be short: no leader is known yet, and after a
   // stop of all replicas no other replica starts an election earlier.
   Duration first_election_timeout_min = Millis(50);
-  // A caught-up learner may replace a voter that has been silent for this long.
+  // Time of silence after which a voter may be replaced by a caught-up learner.
   Duration replace_silent_after = Millis(1500);
-  // A voter that has been silent for this long is removed if enough voters
-  // remain, so that permanently lost hosts do not raise the quorum size.
+  // Time of silence after which a voter is removed if enough voters remain.
+  // Without the removal, permanently lost hosts would raise the quorum size.
   Duration drop_silent_after = std::chrono::seconds(6);
   // Number of hosts that may fail at the same time. A silent voter is removed
-  // only if 2 x this + 1 voters remain or if a learner replaces it.
+  // only if 2 x `tolerate` + 1 voters remain or if a learner replaces it.
   int tolerate = 1;
   int max_voters = 7;
-  // The log is compacted into a snapshot once this many entries or bytes have
-  // been applied.
+  // Number and bytes of applied entries, either of which triggers compaction of
+  // the log into a snapshot.
   size_t compact_entries = 64;
   size_t compact_bytes = 1 << 20;
-  // Maximum bytes of entries in one message; a single entry may exceed it.
+  // Maximum bytes of entries in one message. A single entry may be larger.
   size_t batch_bytes = size_t{512} * 1024;
 };
 
@@ -194,7 +195,7 @@
   Duration LeaderAge() const;
   // Returns the time since this replica last knew that it had applied
   // everything its leader had committed. If it is short, the state may be
-  // published to processes that start.
+  // published to starting processes.
   Duration StepAge() const;
   int64_t config_version() const { return config_version_; }
   // The newest committed configuration, compressed. Null if there is none.
@@ -207,14 +208,14 @@
   size_t log_bytes() const { return log_bytes_; }
 
  private:
-  // After a failed disk write, a replica starts no election for this long, so
+  // Time after a failed disk write in which a replica starts no election, so
   // that a replica with a working disk becomes leader.
   static constexpr auto kDiskErrorBackoff = std::chrono::seconds(5);
-  // Limit on bytes of proposed but uncommitted configurations. A 100 Mbit/s
-  // link sends this much to six other members in half a second.
+  // Maximum bytes of proposed but uncommitted configurations. A 100 Mbit/s link
+  // sends this many bytes to six other members in half a second.
   static constexpr size_t kMaxUncommittedConfigBytes = size_t{1} << 20;
 
-  // What the leader knows about another member or a learner.
+  // The leader's state of another member or a learner.
   struct Peer {
     Member member;
     uint64_t next_index = 1;   // Index of the next entry to send.
@@ -233,9 +234,9 @@
   };
   // A callback that waits for a proposal or a read barrier.
   struct Waiter {
-    uint64_t index = 0;  // Completes after this index is applied.
+    uint64_t index = 0;  // The waiter completes after this index is applied.
     uint64_t term = 0;
-    uint64_t round = 0;  // Barrier only: a quorum must answer this round.
+    uint64_t round = 0;  // For a barrier: round that a quorum must answer.
     Done done;
   };
 
@@ -272,7 +273,7 @@
   void RecordLeaderContact(const Member& leader);
   bool IsVoter(const std::string& id) const;
   size_t QuorumSize() const { return members_.size() / 2 + 1; }
-  // Returns the latest time at which a quorum is known to have accepted this
+  // Returns the latest time at which a quorum is known to have followed this
   // leader.
   TimePoint QuorumContactTime() const;
   uint64_t QuorumAckedRound() const;
@@ -302,12 +303,12 @@
   size_t log_bytes_ = 0;
   // Voters of the newest membership entry in the log, committed or not.
   std::vector<Member> members_;
-  uint64_t members_index_ = 0;  // Log index of `members_`.
+  uint64_t members_index_ = 0;  // Log index of the entry that set `members_`.
   uint64_t commit_index_ = 0;
   uint64_t applied_index_ = 0;
   // Bytes of log entries that are applied and can be compacted.
   size_t applied_log_bytes_ = 0;
-  // Earliest time of the next compaction after the store failed one.
+  // Earliest time of the next compaction attempt after the store failed.
   TimePoint compact_not_before_{};
   int64_t config_version_ = 0;
   Document config_;
@@ -316,7 +317,7 @@
   ReplicaRole role_ = ReplicaRole::kFollower;
   std::optional<Member> leader_;
   TimePoint leader_contact_at_{};
-  TimePoint up_to_date_at_{};  // Follower only: see StepAge().
+  TimePoint up_to_date_at_{};  // Followers only; see StepAge().
   TimePoint election_deadline_{};
   // Lower bound of the next random election timeout. Grows from
   // first_election_timeout_min to election_timeout_min.
@@ -324,15 +325,16 @@
   TimePoint disk_backoff_until_{};
   bool in_pre_vote_ = false;
   TimePoint pre_vote_sent_at_{};
-  std::vector<std::string>
-      granted_votes_;                  // Ids of members that granted a vote.
-  std::map<std::string, Peer> peers_;  // By member id; leader only.
-  uint64_t round_ = 0;                 // Number of the newest broadcast.
-  // Send times of the newest rounds, oldest first. The last one is of `round_`.
+  // Ids of members that granted a vote.
+  std::vector<std::string> granted_votes_;
+  std::map<std::string, Peer> peers_;  // Peers by member id; leader only.
+  uint64_t round_ = 0;                 // Number of the newest broadcast round.
+  // Send times of the newest rounds, oldest first. The last element belongs to
+  // `round_`.
   std::deque<TimePoint> round_sent_times_;
   TimePoint leading_since_{};
-  uint64_t term_start_index_ =
-      0;  // Index of the first entry of this leader's term.
+  // Index of the first entry of this leader's term.
+  uint64_t term_start_index_ = 0;
   std::vector<Waiter> waiters_;
   NewestGate config_proposals_;
   TimePoint join_sent_at_{};
--- a/src/replica_codec.cc
+++ b/src/replica_codec.cc
@@ -55,8 +55,8 @@
   }
 
  private:
-  // Own messages have at most 5 levels: the message, its entries, one entry,
-  // its members, one member.
+  // Maximum nesting depth. Messages of medlarwalk have at most 5 levels: the
+  // message, its entries, one entry, its members, one member.
   static constexpr int kMaxDepth = 16;
   int depth_ = 0;
 };
@@ -167,7 +167,8 @@
 }
 
 absl::StatusOr<json> FromCbor(absl::string_view bytes) {
-  // The library throws on absurd sizes even with exceptions turned off.
+  // The library throws on excessive sizes even with exceptions turned
+  // off.
   try {
     NestingDepthLimit depth_limit;
     if (!json::sax_parse(bytes.begin(), bytes.end(), &depth_limit,
--- a/src/replica_codec.h
+++ b/src/replica_codec.h
@@ -19,7 +19,8 @@
 nlohmann::json ToJson(const LogEntry& e);
 nlohmann::json ToJson(const Snapshot& s);
 nlohmann::json ToJson(const Member& m);
-// The FromJson functions throw nlohmann::json::exception on a malformed value.
+// The FromJson functions throw nlohmann::json::exception if the value is
+// malformed.
 LogEntry EntryFromJson(const nlohmann::json& j);
 Snapshot SnapshotFromJson(const nlohmann::json& j);
 Member MemberFromJson(const nlohmann::json& j);
--- a/src/replica_election.cc
+++ b/src/replica_election.cc
@@ -7,8 +7,8 @@
 namespace medlarwalk {
 namespace {
 
-// Two pre-votes sent within this time of each other count as concurrent. Longer
-// than a round trip, shorter than the time to the next attempt.
+// Two pre-votes sent within this time of each other count as concurrent. It is
+// longer than a round trip and shorter than the time to the next attempt.
 constexpr auto kConcurrentElectionWindow = Millis(50);
 
 }  // namespace
@@ -36,9 +36,9 @@
 
 void Replica::StepDown(uint64_t term, absl::string_view reason) {
   bool was_leader = role_ == ReplicaRole::kLeader;
-  // If the newer term cannot be stored, the old term stays in force and this
-  // replica grants no vote in the newer one. The next message with the newer
-  // term stores it again.
+  // If the newer term cannot be stored, this replica keeps the old term and
+  // grants no vote in the newer one. The next message with the newer term leads
+  // to another attempt to store it.
   if (term > term_) SetTermAndVote(term, "");
   role_ = ReplicaRole::kFollower;
   in_pre_vote_ = false;
@@ -54,10 +54,10 @@
 }
 
 void Replica::StartElection(bool pre_vote) {
-  // A pre-vote does not disturb a leader. Until the first contact with a leader
-  // it is therefore repeated after a short time: the other replicas may just be
-  // starting. The time doubles with each attempt, because storing votes may
-  // take long on slow disks.
+  // A pre-vote does not disturb a leader. Until the first contact with a
+  // leader, pre-votes are therefore repeated at short intervals, because the
+  // other replicas may just be starting. The interval doubles with each
+  // attempt, because storing votes may take long on slow disks.
   if (leader_contact_at_ != TimePoint{})
     election_timeout_base_ = options_.election_timeout_min;
   ResetElectionTimer(election_timeout_base_);
@@ -122,8 +122,8 @@
 
 // Returns whether this replica and the sender of `m` sent concurrent pre-votes
 // with the same last log entry, and this replica has the lower id. The sender
-// then gets no pre-vote. Without this rule both would win the pre-vote, and
-// where every vote is needed, neither would win the election.
+// then gets no pre-vote. Without this rule both would win the pre-vote. If
+// every vote is needed, neither would then win the election.
 bool Replica::WinsElectionTie(const ReplicaMessage& m) const {
   bool pre_vote_concurrent =
       role_ == ReplicaRole::kCandidate &&
@@ -139,8 +139,8 @@
   bool log_up_to_date =
       m.log_term > TermAt(LastLogIndex()) ||
       (m.log_term == TermAt(LastLogIndex()) && m.index >= LastLogIndex());
-  // Grant no vote while there is a working leader: a host that returns from a
-  // network partition must not depose it.
+  // No vote is granted while there is a working leader: a host that returns
+  // from a network partition must not depose that leader.
   bool has_leader = LeaderAge() < options_.election_timeout_min;
   if (m.pre_vote) {
     reply.ok =
@@ -167,7 +167,8 @@
     return;
   }
   if (m.pre_vote && m.term > term_ && !m.ok) {
-    // Adopt the newer term; otherwise this replica could never win an election.
+    // The newer term is adopted because this replica could not win an election
+    // with an older one.
     StepDown(m.term, "newer term");
     return;
   }
--- a/src/replica_store.cc
+++ b/src/replica_store.cc
@@ -19,8 +19,10 @@
 
 namespace {
 
-constexpr size_t kRecordHeaderBytes = 12;  // Length (4) and checksum (8).
-// A greater length means a torn header.
+// Bytes of a record's header: length (4) and checksum (8).
+constexpr size_t kRecordHeaderBytes = 12;
+// Maximum record length. A greater length in a header means that the header is
+// torn.
 constexpr uint32_t kMaxRecordBytes = 64u << 20;
 
 json StateRecord(const StoredState& state) {
@@ -178,9 +180,9 @@
   for (const LogEntry& e : state.log) bytes += FrameRecord(EntryRecord(e));
   absl::StatusOr<int> fd = ReplaceFile(path_, bytes, before_write_);
   if (!fd.ok()) return fd.status();
-  // The new file is in use from here on. Until the directory is synced, the old
-  // file may reappear after a power loss, so WriteRecords syncs the directory
-  // before it writes.
+  // The new file is in use from this point. Until the directory is synced, the
+  // old file may reappear after a power loss. WriteRecords therefore syncs the
+  // directory before it writes.
   if (fd_ >= 0) close(fd_);
   fd_ = *fd;
   synced_length_ = static_cast<int64_t>(bytes.size());
--- a/src/replica_store.h
+++ b/src/replica_store.h
@@ -19,7 +19,7 @@
 // A ReplicaStore in directory `dir`. Calls block until the data is synced.
 class FileReplicaStore : public ReplicaStore {
  public:
-  // `before_write` may be empty.
+  // `before_write` is called before each disk write; it may be empty.
   explicit FileReplicaStore(std::string dir, BeforeWrite before_write = {});
   ~FileReplicaStore() override;
   FileReplicaStore(const FileReplicaStore&) = delete;
@@ -43,12 +43,12 @@
   std::string dir_;
   std::string path_;
   int fd_ = -1;
-  // Length of the synced records.
+  // Total length of the synced records in bytes.
   int64_t synced_length_ = 0;
-  // The file may hold a torn record after `synced_length_`. The file must be
-  // truncated to that length before the next record is written.
+  // Whether the file may hold a torn record after `synced_length_`. If so, it
+  // is truncated to that length before the next record is written.
   bool tail_dirty_ = false;
-  // The rename of the last rewrite may not be durable yet.
+  // Whether the rename of the last rewrite may not be durable yet.
   bool dir_sync_pending_ = false;
 };
 
--- a/src/serving.cc
+++ b/src/serving.cc
@@ -11,21 +11,22 @@
 namespace medlarwalk {
 namespace {
 
-// How long a configuration counts as current after control confirmed it. An
-// up-to-date control process answers a watch within 0.4 s. The shortest time
-// that operators can set for a configuration change to take effect everywhere
-// is 2 s; after that, nothing the change allows may be rejected.
+// Time for which a configuration counts as current after control confirmed it.
+// An up-to-date control process answers a watch within 0.4 s. Operators can
+// demand that a configuration change takes effect everywhere within 2 s or
+// more; after that time, requests that the change allows must not be rejected.
 constexpr auto kConfigTrust = Millis(1500);
 constexpr double kTickSeconds = 0.02;
-// This process reads the upstream list itself, no more often than
-// kOwnListInterval, once control's list is older than both kMaxListAge and
-// kMaxListAgeInReads of control's read intervals. Otherwise draining upstreams
-// would be noticed too late.
+// Maximum age of control's upstream list, as a time and as a number of
+// control's read intervals. If the list is older than both, this process reads
+// the upstream list itself, at most once per kOwnListInterval. Otherwise
+// draining upstreams would be noticed too late.
 constexpr Duration kMaxListAge = Millis(2000);
 constexpr int kMaxListAgeInReads = 2;
 constexpr Duration kOwnListInterval = Millis(2000);
-// Time after SIGTERM in which new connections are accepted. They arrive until
-// two readiness probes have failed and the load balancer has removed this host.
+// Time after SIGTERM for which new connections are accepted. They keep arriving
+// until two readiness probes have failed and the load balancer has removed this
+// host.
 constexpr auto kAcceptWhileDraining = Millis(2500);
 // Time after SIGTERM at which idle connections are closed; callers open new
 // ones at other entry processes.
@@ -94,10 +95,10 @@
             OnWatchReply(r, in_sync);
           }),
       lister_(loop, clock, options_.list),
-      // Initialized to now so that this process does not read the list itself
-      // at startup. Where all processes start at once, control has a list
-      // within a moment, unless every entry process queries the list's source
-      // at the same time.
+      // Initialized to the current time so that this process does not read the
+      // list itself at startup. If all processes start at once, control has a
+      // list within a moment, unless all entry processes use up the calls that
+      // the list's source accepts.
       list_current_at_(clock.Now()) {
   InitTimer(&tick_, OnTick, kTickSeconds, kTickSeconds);
   tick_.data = this;
@@ -190,8 +191,7 @@
                            : c->from == 0 ? "whole"
                                           : "difference",
                            r.list->size());
-  // Version 0 requests the whole list, after an update that could not be
-  // applied.
+  // After a change that does not apply, version 0 requests the complete list.
   watch_.state().list_version = applied ? list_.version() : 0;
   if (!applied) {
     LogWarn("list_unfit", {{"held", before},
@@ -236,7 +236,7 @@
     return;
   }
   // All entry processes may lose control at once, so each one uses only its
-  // share of the calls that the source allows.
+  // share of the calls that the list's source accepts.
   Duration interval = std::max(
       kOwnListInterval,
       ListInterval(lister_.length(), options_.list.calls_per_s / entry_count_));
--- a/src/serving.h
+++ b/src/serving.h
@@ -25,7 +25,7 @@
 struct ServingOptions {
   std::string name;
   std::string data_centre;
-  Endpoint frontend;   // Address for callers.
+  Endpoint frontend;   // Address on which callers connect.
   Endpoint readiness;  // Address for readiness probes of the load balancer.
   std::string readiness_path;
   Endpoint metrics;  // Address that serves Prometheus text at /metrics.
@@ -36,7 +36,7 @@
   GatewayOptions gateway;
   Dialect dialect;
   ListSource list;
-  UsagePolicy usage;  // With a zero window, requests are not counted.
+  UsagePolicy usage;  // If its window is zero, requests are not counted.
   // Decodes a configuration document. Errors: InvalidArgument.
   std::function<absl::StatusOr<RoutingConfig>(absl::string_view)> decode;
 };
@@ -50,7 +50,7 @@
   Serving(const Serving&) = delete;
   Serving& operator=(const Serving&) = delete;
 
-  // Binds all addresses and starts serving. Errors: Unavailable when an address
+  // Binds all addresses and starts serving. Errors: Unavailable if an address
   // cannot be bound.
   absl::Status Start();
   void set_control_seeds(std::vector<std::string> seeds);
@@ -82,7 +82,7 @@
   CallerServer callers_;
   CallerServer readiness_;
   CallerServer metrics_server_;
-  const uint64_t process_id_;  // Random id, drawn at each start.
+  const uint64_t process_id_;  // Random id, generated at each start.
   GroupTime group_time_;
   UsageBook usage_;
   WatchReports reports_;
--- a/src/upstream_link.h
+++ b/src/upstream_link.h
@@ -1,7 +1,7 @@
 // Interface of a link that carries one call at a time to one upstream: a
 // reusable HTTP/1.1 connection (http1_client) or a stream to the agent on the
-// upstream's host (agent_link). A link knows how far a call got (never written,
-// possibly run, answered), which decides the answer that the caller may get.
+// upstream's host (agent_link). A link knows how far a call got: not written,
+// possibly run or answered. This state decides which answer the caller may get.
 #ifndef MEDLARWALK_UPSTREAM_LINK_H_
 #define MEDLARWALK_UPSTREAM_LINK_H_
 
@@ -21,15 +21,16 @@
   std::string method;
   std::string target;
   HeaderList headers;
-  absl::string_view body;  // Must stay valid until Start has returned.
+  // View that must stay valid until Start has returned.
+  absl::string_view body;
 };
 
 // How a call ended.
 enum class CallEnd {
   kWhole,      // The answer is complete.
   kNotSent,    // No byte of the request left this process.
-  kNoAnswer,   // Sent at least in part; ended before an answer's head.
-  kBrokenOff,  // Ended after the answer's head, before its end.
+  kNoAnswer,   // Request sent at least in part; no answer's head arrived.
+  kBrokenOff,  // The answer ended after its head but before its end.
 };
 
 // One call. Callbacks run on the loop thread, may run inside Start, and may
@@ -40,8 +41,9 @@
   // another request; the link then skips it and waits for the next answer.
   std::function<bool(const MessageHead&)> on_head;
   std::function<void(absl::string_view)> on_body;
-  // Called once, after all other callbacks. `why` is a reason for the log; for
-  // a complete answer it is how the end was detected (EndName).
+  // Called once, after all other callbacks. `why` is a text for the log: the
+  // reason of a failure, or how the end of a complete answer was detected
+  // (EndName).
   std::function<void(CallEnd end, absl::string_view why)> on_end;
 };
 
@@ -55,7 +57,7 @@
   // work.
   virtual void Cancel() = 0;
   virtual void Close() = 0;
-  // Returns whether no call is in progress.
+  // Returns whether no call is in progress on the link.
   virtual bool idle() const = 0;
   // Returns whether the link can carry another call.
   virtual bool open() const = 0;
@@ -67,9 +69,9 @@
   virtual bool refused() const { return false; }
   // Returns whether any byte of the current call was written.
   virtual bool sent() const = 0;
-  // Pauses or resumes reading the answer, for a slow caller.
+  // Pauses or resumes reading the answer while the caller reads slowly.
   virtual void PauseRead(bool paused) = 0;
-  // Returns when the link became idle.
+  // Returns the time when the link became idle.
   virtual TimePoint idle_since() const = 0;
   // Returns how long the link may stay idle.
   virtual Duration keep_for() const = 0;
--- a/src/upstream_pool.cc
+++ b/src/upstream_pool.cc
@@ -51,7 +51,8 @@
     }
     UpstreamBoard& b = boards_[it->second];
     b.listed = true;
-    // Ignores an outdated entry: the list lags, and several processes read it.
+    // An outdated entry is ignored: the list may lag, and several processes
+    // read it.
     if (u.born && u.born < b.info.born) continue;
     if (StartedAgain(b.info, u)) {
       ResetBoard(b, u);
@@ -99,7 +100,7 @@
   Connections& c = connections_[u.info.id];
   ++c.in_use;
   TimePoint now = clock_.Now();
-  // The most recently used link goes first, because the upstream is least
+  // The most recently used link is chosen first, because the upstream is least
   // likely to have closed it.
   while (!c.idle.empty()) {
     std::shared_ptr<UpstreamLink> link = std::move(c.idle.back());
--- a/src/upstream_pool.h
+++ b/src/upstream_pool.h
@@ -16,8 +16,8 @@
 
 namespace medlarwalk {
 
-// Boards and pooled links of all known upstreams. Thread safety: loop thread
-// only.
+// State boards and pooled links of all known upstreams. Thread safety: loop
+// thread only.
 class UpstreamPool {
  public:
   UpstreamPool(const Clock& clock, LinkOpener open);
@@ -41,7 +41,8 @@
   // must be established within `connect_timeout`.
   std::shared_ptr<UpstreamLink> AcquireLink(const UpstreamBoard& u,
                                             Duration connect_timeout);
-  // Returns whether AcquireLink would have to open a connection beyond `limit`.
+  // Returns whether AcquireLink would have to open a connection beyond `limit`
+  // connections.
   bool AtConnectionLimit(const UpstreamBoard& u, int limit) const;
   // Returns a link to the pool after its call, or closes it if it cannot be
   // reused.
@@ -58,8 +59,8 @@
   void Tick();
 
  private:
-  // Resets the state of the restarted upstream `b`, but keeps the counts of its
-  // requests in flight.
+  // Resets the state of the restarted upstream `b`. The counts of its requests
+  // in flight are kept.
   void ResetBoard(UpstreamBoard& b, const UpstreamInfo& fresh);
   struct Connections {
     std::vector<std::shared_ptr<UpstreamLink>> idle;
--- a/src/usage_reporter.cc
+++ b/src/usage_reporter.cc
@@ -8,19 +8,20 @@
 namespace medlarwalk {
 namespace {
 
-// How long a new leader waits before it commits a window, so that followers
-// have reported their counts to it. Covers a watch and a report interval,
-// twice.
+// Time that a new leader waits before it commits a window, so that followers
+// can first report their counts to it. Covers two watch intervals and two
+// report intervals.
 constexpr auto kSettleTime = Millis(1600);
 // Interval between samples of this host's wall clock.
 constexpr auto kOwnSampleInterval = Millis(200);
 constexpr auto kConnectTimeout = Millis(500);
 // Minimum time between attempts to connect.
 constexpr auto kReconnectDelay = Millis(200);
-// A call without an answer is aborted after this time. The outside system may
-// still execute it.
+// Time without an answer after which a call is aborted. The outside system may
+// still execute the call.
 constexpr auto kCallTimeout = Millis(1000);
-// Share of the allowed duty calls per second that usage reports may use.
+// Maximum share of the allowed duty calls per second that usage reports may
+// use.
 constexpr double kCallRateShare = 0.5;
 
 absl::string_view Name(DutyAnswer a) {
@@ -155,8 +156,8 @@
   }
   const DutyLog::Subject& subject = r->duties().FindSubject(kUsageSubject);
   std::optional<int64_t> window = deliveries_.NextToSend(subject, now);
-  // Connects first, because the confirmation must be recent when the call is
-  // sent.
+  // The connection is opened before the leadership is confirmed, because the
+  // confirmation must be recent when the call is sent.
   if (!window || !EnsureConnected(now)) return;
   std::optional<uint64_t> token = leadership_.UsableToken(now);
   if (token) {
--- a/src/usage_reporter.h
+++ b/src/usage_reporter.h
@@ -1,7 +1,8 @@
 // Reports usage to an outside system; one host does it for the whole group. The
 // reporter merges the counts of entries, has the report of a window committed
-// and sends committed reports. It does the input and output; the leadership and
-// schedule classes of the duty folder decide who sends what and when.
+// and sends committed reports. It does the input and output. The leadership and
+// schedule classes of the duty folder decide which host sends which report, and
+// when.
 #ifndef MEDLARWALK_USAGE_REPORTER_H_
 #define MEDLARWALK_USAGE_REPORTER_H_
 
@@ -25,8 +26,8 @@
 // The outcome of a report, from the outside system's answer.
 enum class DutyAnswer {
   kAccepted,
-  kRefused,  // A holder with a higher token has acted before.
-  kFailed,   // Unknown: the report may be accepted already, or later.
+  kRefused,  // The outside system has seen a higher token.
+  kFailed,   // Unknown outcome: the report may be accepted already, or later.
 };
 
 // The sender of a report and its fencing token.
@@ -37,12 +38,12 @@
 
 // The destination of reports and their format.
 struct UsageOptions {
-  std::string name;     // Of this process's host, as the duty holder.
-  Endpoint at;          // The outside system.
-  UsagePolicy policy;   // With window 0 this process reports no usage.
-  DutyTurnPolicy turn;  // When this process may hold the duty.
+  std::string name;     // Name of this process's host, as the duty holder.
+  Endpoint at;          // Address of the outside system.
+  UsagePolicy policy;   // If its window is 0, this process reports no usage.
+  DutyTurnPolicy turn;  // Rules for when this process may hold the duty.
   // Duty calls per second that the outside system accepts from all processes
-  // together; 0: no limit.
+  // together; 0 if unlimited.
   double calls_per_s = 0;
   // Writes the request for a report. Its body is a view of `*body`.
   std::function<OutgoingRequest(const DutyCaller&, int64_t window,
@@ -55,7 +56,7 @@
 // Collects, commits and sends usage reports. Thread safety: loop thread only.
 class UsageReporter {
  public:
-  // `replica`: returns this process's replica, or null while it has none.
+  // `replica` returns this process's replica, or null if there is none.
   UsageReporter(struct ev_loop* loop, const Clock& clock, const WallClock& wall,
                 UsageOptions options, std::function<Replica*()> replica,
                 ControlMetrics& metrics);
@@ -63,12 +64,12 @@
   UsageReporter(const UsageReporter&) = delete;
   UsageReporter& operator=(const UsageReporter&) = delete;
 
-  // Takes over the wall clock time and the counts that a follower reports with
-  // its watch.
+  // Records the wall clock time and the counts that a follower reports with its
+  // watch.
   void TakeReport(const WatchRequest& r);
-  // Takes over the group's time and the committed window published by the
-  // process that this one follows. Precondition: that process is up to date
-  // with a leader.
+  // Records the group's time and the committed window published by the process
+  // that this one follows. Precondition: that process is up to date with a
+  // leader.
   void TakeTold(const WatchReply& r);
   // Sets the group's time and the committed window in `r`, for followers.
   void Fill(WatchReply* r) const;
@@ -94,7 +95,7 @@
   void SendReport(int64_t window, uint64_t token, TimePoint now);
   void OnCallEnded(int64_t window, uint64_t token, bool complete);
   void AbortCall(TimePoint now);
-  // Returns this process's replica if it is the leader, else null.
+  // Returns this process's replica if it is the leader, otherwise null.
   Replica* LeadingReplica() const;
 
   struct ev_loop* loop_;
@@ -107,19 +108,20 @@
   UsageBook book_;
   DutyLeadership leadership_;
   UsageDeliveries deliveries_;
-  int64_t committed_through_ = 0;  // Last committed window known here.
-  uint64_t deliveries_term_ = 0;   // Term that `deliveries_` belongs to.
+  // Newest committed window known to this process.
+  int64_t committed_through_ = 0;
+  uint64_t deliveries_term_ = 0;  // Term that `deliveries_` belongs to.
   TimePoint own_sample_at_{};
   bool committing_ = false;
   bool confirmation_pending_ = false;
   std::shared_ptr<Http1Client> client_;
   TimePoint next_connect_at_{};
-  // The call in flight.
+  // State of the call in flight.
   bool call_in_flight_ = false;
   int64_t called_window_ = 0;
   uint64_t called_token_ = 0;
   TimePoint called_at_{};
-  int status_ = 0;  // HTTP status of the answer; 0: none yet.
+  int status_ = 0;  // HTTP status of the answer; 0 until it arrives.
 };
 
 }  // namespace medlarwalk
--- a/src/watch_client.cc
+++ b/src/watch_client.cc
@@ -10,11 +10,12 @@
 namespace {
 
 constexpr double kTickSeconds = 0.025;
-// Delay before the next control process is tried after a failure. Without it, a
-// fleet whose control processes fail would overload the remaining ones.
+// Delay after a failure before the next control process is tried. If many
+// control processes fail, their followers would otherwise overload the
+// remaining ones.
 constexpr auto kRetryDelay = Millis(40);
 // Time after the last failure when the preferred control process is tried
-// again. It may be the one that failed, and may be back.
+// again. It may be the failed one, and may have recovered.
 constexpr auto kReturnToPreferredAfter = std::chrono::seconds(3);
 
 }  // namespace
@@ -69,20 +70,21 @@
   TimePoint last_bytes_at = last_bytes_at_;
   CancelWatch();
   SendWatch();
-  // Keeps the time of the last bytes: a restarted watch must not extend the
-  // timeout of a silent target.
+  // The time of the last bytes is kept, because a restarted watch must not
+  // extend the timeout of a silent target.
   if (target_ == previous_target) last_bytes_at_ = last_bytes_at;
 }
 
-// Returns the control processes in order of preference. Those of the own data
-// centre come first, so that data crosses between two data centres once and not
-// once per follower. Within that, the order is a hash that includes the own
-// name, which spreads the followers over the control processes.
+// Returns the control processes in order of preference. Those of this process's
+// data centre come first, so that data crosses between two data centres once
+// instead of once per follower. Within a data centre, the order is that of a
+// hash of the address and this process's name, which spreads the followers over
+// the control processes.
 std::vector<std::string> WatchClient::OrderedTargets() const {
   if (!pinned_.empty()) return {pinned_};
   std::vector<ControlEndpoint> candidates = known_endpoints_;
-  // Falls back to the seeds after as many failures as there are known control
-  // processes: all of those may have been replaced.
+  // The seeds are used after as many consecutive failures as there are known
+  // control processes, because all of these may have been replaced.
   if (consecutive_failures_ >= static_cast<int>(candidates.size())) {
     for (const std::string& s : seeds_) candidates.push_back({s, ""});
   }
@@ -104,8 +106,8 @@
   return addresses;
 }
 
-// Keeps the followed process unless it is no longer a candidate, or the
-// preferred candidate may have recovered from its failure.
+// Keeps the followed process, with two exceptions: it is no longer a candidate,
+// or the preferred candidate may have recovered from its failure.
 void WatchClient::ChooseTarget(TimePoint now) {
   std::vector<std::string> candidates = OrderedTargets();
   if (candidates.empty()) return;
@@ -181,7 +183,8 @@
     known_endpoints_ = r->control;
     state_.endpoints_version = EndpointsVersion(known_endpoints_);
   }
-  // The reported age of the list dates from the first bytes of the answer.
+  // The age of the list in the answer is relative to the arrival of the
+  // answer's first bytes.
   if (r->list_age_ms >= 0)
     r->list_age_ms += ToMs(clock_.Now() - answer_began_at_);
   on_reply_(*r, in_sync);
--- a/src/watch_client.h
+++ b/src/watch_client.h
@@ -27,8 +27,9 @@
   // The answering process must have been in sync with a leader within this
   // time; see WatchReply::age_ms.
   Duration max_age = Millis(800);
-  std::string data_centre;  // Control processes there are preferred.
-  std::string address;      // Where others can watch this process, or "".
+  // Data centre whose control processes are preferred.
+  std::string data_centre;
+  std::string address;  // Address where others can watch this process, or "".
   // Returns the longest recent loop iteration, for the log. May be empty.
   std::function<Duration()> longest_turn;
   // Records to report to the followed process. May be null.
@@ -39,7 +40,7 @@
 class WatchClient {
  public:
   using OnReply = std::function<void(const WatchReply&, bool in_sync)>;
-  // `seeds`: addresses ("ip:port") of control processes.
+  // `seeds` are addresses ("ip:port") of control processes.
   WatchClient(struct ev_loop* loop, const Clock& clock, WatchOptions options,
               std::vector<std::string> seeds, OnReply on_reply);
   ~WatchClient();
@@ -56,8 +57,8 @@
   // Does nothing if no watch is open or its answer has begun to arrive.
   void AskAgain();
   void set_seeds(std::vector<std::string> seeds) { seeds_ = std::move(seeds); }
-  // Returns the request that the next watch sends. Callers update the versions
-  // that they hold.
+  // Returns the request that the next watch sends. Callers set in it the
+  // versions that they hold.
   WatchRequest& state() { return state_; }
 
  private:
@@ -83,13 +84,15 @@
   bool watch_open_ = false;
   bool paused_ = false;
   int32_t stream_ = 0;
-  // When the answer's first bytes arrived; the epoch if none did.
+  // Time when the answer's first bytes arrived; the epoch before that.
   TimePoint answer_began_at_{};
-  // When bytes last arrived; before the first ones, when the watch was sent.
+  // Time when the last bytes arrived. Before the first bytes, the time when the
+  // watch was sent.
   TimePoint last_bytes_at_{};
   TimePoint no_watch_before_{};
-  TimePoint target_failed_at_{};  // When a target last failed.
-  // Failed targets since the last answer in sync with a leader.
+  TimePoint target_failed_at_{};  // Time of the last failure of a target.
+  // Number of failed targets since the last answer that was in sync with a
+  // leader.
   int consecutive_failures_ = 0;
   ev_timer tick_{};
 };
--- a/src/watch_reports.h
+++ b/src/watch_reports.h
@@ -13,11 +13,11 @@
 
 namespace medlarwalk {
 
-// Tracks which records the followed process has not confirmed yet. Thread
-// safety: loop thread only.
+// Tracks which records the followed control process has not confirmed yet.
+// Thread safety: loop thread only.
 class WatchReports {
  public:
-  // Precondition: all arguments outlive this object.
+  // Precondition: the referenced arguments outlive this object.
   WatchReports(const Quarantine& quarantine, const LimitBook& limits,
                const UsageBook& usage, const WallClock& wall)
       : crashes_(quarantine),
@@ -25,16 +25,17 @@
         usage_(usage, kUsageInterval),
         wall_(wall) {}
 
-  // Adds to `r` the records that `target` has not confirmed, and the wall
-  // clock.
+  // Adds to `r` the records that `target` has not confirmed, and this host's
+  // wall clock time.
   void AttachPendingRecords(const std::string& target, TimePoint now,
                             WatchRequest* r);
-  // Records that the target received the records attached last.
+  // Records that the target has received the records added last.
   void OnDelivered();
-  // Forgets what was confirmed: a target that failed may have lost its state.
+  // Marks all records as unconfirmed: a target that failed may have lost its
+  // state.
   void OnTargetLost();
-  // Returns whether there are new crash or limit records. These are reported
-  // without delay.
+  // Returns whether there are unreported crash or limit records. These are
+  // reported without delay.
   bool urgent() const { return crashes_.waiting() || limits_.waiting(); }
 
  private:
--- a/test/answer_end_test.cc
+++ b/test/answer_end_test.cc
@@ -58,13 +58,13 @@
                         Ending ending) {
     if (next < pieces.size()) tcp->Write(pieces[next]);
     if (next + 1 < pieces.size()) {
-      // The delay is long enough for the pieces to be read one by one.
+      // The delay is long enough for the client to read the pieces one by one.
       Later(loop, 20, [=] { SendPiece(loop, tcp, pieces, next + 1, ending); });
     } else if (ending == Ending::kClose) {
       tcp->CloseAfterWrites();
     } else if (ending == Ending::kReset) {
-      // Waits until the bytes were read, because a reset drops bytes in
-      // transit.
+      // The reset is delayed until the client has read the bytes, because a
+      // reset drops bytes in transit.
       Later(loop, 2, [tcp] { tcp->Reset(); });
     }
   }
@@ -149,8 +149,9 @@
   struct ev_loop* loop = ev_loop_new(EVFLAG_AUTO);
   void teardown() override { ev_loop_destroy(loop); }
 
-  // Checks that `answer` is complete as a whole, with `body` bytes and its end
-  // detected by `end_detected_by`, and incomplete when truncated at any byte.
+  // Checks that the full `answer` is complete, with `body` bytes
+  // and its end detected by `end_detected_by`. When truncated at any byte, the
+  // answer must be incomplete.
   void CheckEveryTruncation(const std::string& answer, size_t body,
                             const char* end_detected_by) {
     CallResult whole = CallOverHttp1(loop, answer, Ending::kStay);
@@ -181,8 +182,8 @@
 }
 
 // Without a length, an orderly close at any byte after the head ends the
-// answer. After a reset the answer is never complete, not even after its last
-// byte.
+// answer. After a reset the answer is never complete, even if its last byte has
+// arrived.
 TEST(answer_end, OrderlyCloseMarksTheEndWithoutALength) {
   const std::string head = "HTTP/1.1 200 OK\r\n\r\n";
   const std::string answer = head + "data: a\n\n";
@@ -215,10 +216,10 @@
   }
 }
 
-// Guards against relaying an abandoned stream as complete. The agent gives up
-// the stream: it sends the head, one event and then RST_STREAM with NO_ERROR
-// instead of END_STREAM. The error code tells why the stream was reset, not
-// that the answer was complete.
+// Guards against relaying an abandoned stream as complete. The agent sends the
+// head and one event, then gives up the stream with RST_STREAM and NO_ERROR
+// instead of END_STREAM. NO_ERROR tells why the stream was reset, not that the
+// answer was complete.
 TEST(answer_end, ResetWithNoErrorIsNotTheEnd) {
   const std::string reset = Frame(3, 0, 1, std::string(4, '\0'));
   CallResult result =
@@ -227,12 +228,12 @@
   CHECK_TRUE(result.end == CallEnd::kBrokenOff);
 }
 
-// Guards against relaying a stream that the engine cut short as complete. The
-// engine answers without a length, the first piece that the agent reads ends
-// inside "data:", and the engine's connection closes before "[DONE]". An agent
-// that recognizes streams only by their first five bytes would take this one
-// for a plain answer. A plain answer without a length is complete when its
-// connection closes.
+// Guards against relaying a stream as complete that the engine did not finish.
+// The engine answers without a length, the first piece that the agent reads
+// ends inside "data:", and the engine closes its connection before "[DONE]". An
+// agent that recognizes streams only by their first five bytes would take this
+// stream for a plain answer. A plain answer without a length is complete when
+// its connection closes.
 TEST(answer_end, StreamWithAShortFirstPieceIsRecognized) {
   BootClock clock;
   int base = FreeBase();
@@ -265,8 +266,9 @@
 }
 
 // Guards against an engine that continues a prefill after the caller has
-// disconnected. The call is cancelled before the engine has answered a byte. A
-// cancelled call must not stay open until its next byte or its timeout of 30 s.
+// disconnected. The call is cancelled before the engine has answered a byte.
+// The connection of a cancelled call must not stay open until the engine's next
+// byte or the timeout of 30 s.
 TEST(answer_end, CancelledCallIsClosedAtOnce) {
   ScriptedServer peer(loop, {}, Ending::kStay);
   HttpClient client(loop);
--- a/test/command_line_test.cc
+++ b/test/command_line_test.cc
@@ -26,8 +26,8 @@
 TEST_GROUP(command_line){};
 
 // Guards against `check-settings FILE` accepting a file that does not exist.
-// The fault was to ignore the argument and check --settings or the built-in
-// default.
+// The subcommand ignored its argument and checked the file of --settings or the
+// built-in default.
 TEST(command_line, CheckSettingsReadsTheGivenFile) {
   std::string dir = TempDir();
   std::ofstream(dir + "/good.json") << DefaultSettingsJson(7000);
--- a/test/control_test.cc
+++ b/test/control_test.cc
@@ -51,7 +51,8 @@
     o.seeds = std::move(seeds);
     o.bootstrap = bootstrap;
     if (i < with_disk_) o.data_dir = DataDir(i);
-    o.list.at = Endpoint{"127.0.0.1", 1};  // No process listens there.
+    // Address without a listening process.
+    o.list.at = Endpoint{"127.0.0.1", 1};
     o.list.encode = [](absl::string_view) {
       return OutgoingRequest{"GET", "/", {}, ""};
     };
@@ -147,7 +148,7 @@
 }
 
 // All processes stop at the same time and restart with their stored state. One
-// of them has lost its disk, and must join the group again.
+// of them has lost its disk and must join the group again.
 TEST(control, AllRestartAndOneLostItsDisk) {
   Controls c(3, 0);
   for (int i = 0; i < 3; ++i) c.Start(i, c.Addresses(0, 3), true);
@@ -158,7 +159,7 @@
   for (int i = 0; i < 3; ++i) c.Start(i, c.Addresses(0, 3), false);
   CHECK_TRUE(c.Submit(0, "21").ok());
   for (int i = 0; i < 3; ++i) STRCMP_EQUAL("21", c.Read(i).c_str());
-  // A second disk may be lost after the wiped host has become a voter again.
+  // Once the wiped host is a voter again, a second disk may be lost.
   c.Await([] { return false; }, 1500);
   c.Wipe(2);
   CHECK_TRUE(c.Submit(0, "22").ok());
@@ -166,10 +167,9 @@
 }
 
 // Guards against a system that never serves again after all processes restart.
-// The seeds are replaced by processes on hosts without a disk; then all
-// processes restart at the same time. The new seeds know only each other. The
-// processes with a disk have stored the members, and must announce them to the
-// seeds.
+// The new seeds are processes on hosts without a disk, and all processes
+// restart at the same time. The seeds know only each other. The processes with
+// a disk have stored the members and must announce them to the seeds.
 TEST(control, SeedsWithoutADiskLearnTheMembers) {
   Controls c(3, 3);
   for (int i = 0; i < 6; ++i) c.Start(i, c.Addresses(0, 3), true);
@@ -207,7 +207,7 @@
 
 // Guards against two entries that use the same send slot of an upstream, and
 // against slots that no entry uses. Each serving process must have a unique
-// index, whichever control process it follows.
+// index, regardless of the control process that it follows.
 TEST(control, EachServingProcessHasAUniqueIndex) {
   constexpr int kServing = 9;
   Controls c(3, 2);
@@ -231,8 +231,8 @@
       10000));
 }
 
-// Guards against a control process that crashes after a long stall. It removed
-// its followers as timed out while their watches were still open.
+// Guards against a control process that crashes after a long stall. It had
+// removed its followers as timed out although their watches were still open.
 TEST(control, WatchesAreAnsweredAfterALongStall) {
   Controls c(1, 0);
   c.Start(0, c.Addresses(0, 1), true);
--- a/test/descriptors_test.cc
+++ b/test/descriptors_test.cc
@@ -65,13 +65,14 @@
   }
 };
 
-// Guards against a crash in a burst of requests with
+// Guards against a process that crashes in a burst of requests with
 //
 //   libev: ev_io_start called with negative fd
 //
-// Callers and calls use all descriptors, the link to another medlarwalk process
-// is lost, and no socket can be opened for a new one. The call must fail as not
-// sent, and the link must reconnect later.
+// Connections of callers and to upstreams use all descriptors. The link to
+// another medlarwalk process is lost, and no socket can be opened for a new
+// link. A call on the link must fail as not sent, and the link must reconnect
+// once a descriptor is free.
 TEST(descriptors, LinkWithoutASocketFailsItsCalls) {
   int port = FreeBase();
   int answered = 0;
@@ -108,8 +109,8 @@
 }
 
 // Guards against a busy loop when no descriptor is left for a waiting caller.
-// The listening socket stays readable, and a spinning loop takes CPU time from
-// the requests that would free descriptors.
+// The listening socket stays readable, so the loop would spin and take CPU time
+// from the requests that free descriptors when they end.
 TEST(descriptors, ListenerWithoutDescriptorsDoesNotSpin) {
   int port = FreeBase();
   int accepted = 0;
@@ -126,7 +127,7 @@
   {
     DescriptorBlocker blocker;
     unsigned first_iteration = ev_iteration(loop);
-    Run(Millis(500));  // The timer of Run causes 250 iterations.
+    Run(Millis(500));  // 250 iterations are those of the timer of Run.
     iterations = ev_iteration(loop) - first_iteration;
   }
   CHECK_TRUE(iterations < 350);
@@ -136,8 +137,8 @@
 }
 
 // Guards against idle callers that use up all descriptors and leave none for
-// calls to upstreams. Beyond a limit, the connections idle longest are closed;
-// a busy one never is.
+// calls to upstreams. If there are more connections than allowed, those idle
+// longest are closed. A busy connection is never closed.
 TEST(descriptors, IdleCallersAreClosedForNewOnes) {
   CallerSink sink(loop, clock, 10);
   std::vector<std::shared_ptr<TcpConnection>> callers;
--- a/test/h2_test.cc
+++ b/test/h2_test.cc
@@ -34,10 +34,11 @@
 
 TEST_GROUP(h2){};
 
-// Guards against cancelling the wrong request. A peer sends GOAWAY while
-// stream 1 runs; the next request opens a new connection, where its stream has
-// id 1 again; then the first request is cancelled. The fault was to cancel by
-// stream id on the newest connection, which truncated the second answer.
+// Guards against cancelling the wrong request. A peer sends GOAWAY while stream
+// 1 of the first request runs. The second request opens a new connection, where
+// its stream also has id 1. The first request is then cancelled. The client
+// cancelled by stream id on the newest connection, which truncated the second
+// answer.
 TEST(h2, CancelUsesTheConnectionOfTheStream) {
   struct ev_loop* loop = ev_loop_new(EVFLAG_AUTO);
   {
@@ -99,9 +100,9 @@
 
 }  // namespace
 
-// Guards against a delayed process that declares its peer silent: when it
-// checks the ping timeout, the answer is already in the socket but not yet
-// read.
+// Guards against a delayed process that declares its peer silent. When the
+// process checks the ping timeout, the peer's answer is already in the socket
+// but not yet read.
 TEST(h2, DelayedProcessReadsBeforeCheckingPingTimeout) {
   ClientAndServerLoops loops;
   BootClock clock;
@@ -160,8 +161,9 @@
   c->Close();
 }
 
-// Guards against a timeout that is set late in a long loop iteration but counts
-// from the start of the iteration: it expires before the loop polls the socket.
+// Guards against a timeout that expires too early. It is set late in a long
+// loop iteration but counts from the start of the iteration, so it expires
+// before the loop polls the socket.
 TEST(h2, TimeoutCountsFromWhenItIsSet) {
   ClientAndServerLoops loops;
   DarkAddress dark;
@@ -179,8 +181,10 @@
       loops.client_loop, [&] { return failed; }, 2000));
 }
 
-// Guards against connection attempts that are all given up before a round trip
-// completes while packets queue on a link, so that none ever succeeds.
+// Guards against a link that never connects while packets queue on the network
+// path. The queue makes a round trip longer than the first connect timeout.
+// With a constant timeout, every attempt would be given up before its round
+// trip completes.
 TEST(h2, ConnectTimeoutGrowsWithEachAttempt) {
   ClientAndServerLoops loops;
   BootClock clock;
@@ -190,7 +194,7 @@
   std::string body;
   bool closed = false;
   client.Submit(GetRequest("/a", &body, &closed));
-  // The first attempt has the short limit, because other peers may be
+  // The first attempt has the short timeout, because other peers may be
   // reachable.
   CHECK_TRUE(RunUntil(
       loops.client_loop, [&] { return closed; }, 500));
--- a/test/large_config_test.cc
+++ b/test/large_config_test.cc
@@ -66,7 +66,8 @@
     o.seeds = {o.peer.ToString()};
     o.bootstrap = true;
     o.data_dir = TempDir();
-    o.list.at = Endpoint{"127.0.0.1", 1};  // No process listens there.
+    // Address without a listening process.
+    o.list.at = Endpoint{"127.0.0.1", 1};
     o.list.encode = [](absl::string_view) {
       return OutgoingRequest{"GET", "/", {}, ""};
     };
@@ -122,7 +123,8 @@
     nghttp2_session* s;
     nghttp2_session_client_new(&s, cbs, nullptr);
     nghttp2_session_callbacks_del(cbs);
-    // Opens the HTTP/2 windows for the whole answer: only the socket blocks it.
+    // Opens the HTTP/2 windows for the complete answer, so that only the socket
+    // can block it.
     nghttp2_settings_entry window{NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE,
                                   64 << 20};
     nghttp2_submit_settings(s, NGHTTP2_FLAG_NONE, &window, 1);
@@ -170,18 +172,18 @@
 TEST_GROUP(large_config){};
 
 // Guards against a leader that runs out of memory within two seconds of its
-// election, after an operator added 3,000 routes. Each following leader failed
-// the same way, and no follower did. Large log entries arrive slowly, and
+// election. An operator had added 3,000 routes. Each subsequent leader failed
+// the same way, while followers did not. Large log entries arrive slowly, and
 // heartbeats overtake them. The leader took the reply to a heartbeat for the
 // reply to the entries, and sent all entries again at each round trip. Two
-// lines of its log, 0.9 s apart:
+// lines of the leader's log, 0.9 s apart:
 //   event=memory heap=28404128 log=597937 entries=7 peers=9630796
 //   event=memory heap=85867376 log=597937 entries=7 peers=27217662
 // The retransmission timeout never expired, because each heartbeat restarted
 // it.
 TEST(large_config, EntriesInFlightAreNotSentAgain) {
   auto g = GroupWithLeader(3);
-  g->bytes_per_s = 1e6;  // 0.6 s for the document.
+  g->bytes_per_s = 1e6;  // Sending the document takes 0.6 s.
   g->bytes_sent = 0;
   std::optional<bool> done;
   g->node(g->Leader())->Propose(7, MakeDocument(7), [&](absl::Status s) {
@@ -189,13 +191,14 @@
   });
   g->Run(std::chrono::seconds(3));
   CHECK_TRUE(done.value_or(false));
-  // One copy for each of the two followers, and one more for a late reply.
+  // Expected are one copy for each of the two followers, and one more for a
+  // late reply.
   CHECK_TRUE(g->bytes_sent < 5 * kDocumentBytes);
 }
 
 // Guards against log entries that are lost forever. The network drops the
-// entries, but delivers the heartbeats after them. The leader must send the
-// entries again, because it gets no other sign of the loss.
+// entries but delivers the heartbeats after them. The leader must send the
+// entries again after a timeout, because nothing else shows the loss.
 TEST(large_config, LostEntriesAreSentAgain) {
   auto g = GroupWithLeader(3);
   int l = g->Leader();
@@ -209,8 +212,9 @@
 }
 
 // Guards against a restarted process that loads every past configuration into
-// memory. The log was compacted into a snapshot only by its number of entries,
-// so that thirty documents remained ("store_opened snapshot=0 entries=30").
+// memory. The number of entries alone decided when the log was compacted into a
+// snapshot, so thirty documents remained ("store_opened snapshot=0
+// entries=30").
 TEST(large_config, LogIsCompactedByItsSizeInBytes) {
   auto g = GroupWithLeader(3);
   for (int64_t v = 2; v < 20; ++v) {
@@ -233,7 +237,7 @@
 // answered when the newer one is committed.
 TEST(large_config, ProposalsFasterThanTheLinksDoNotAccumulate) {
   auto g = GroupWithLeader(3);
-  g->bytes_per_s = 2e6;  // 0.3 s for a document.
+  g->bytes_per_s = 2e6;  // Sending a document takes 0.3 s.
   int l = g->Leader();
   int acknowledged = 0;
   size_t max_log_bytes = 0;
@@ -251,8 +255,8 @@
 }
 
 // Guards against one encoded copy of a configuration per follower. Thirty
-// followers behind slow links wait for the same new configuration, and must
-// share one copy of it.
+// followers behind slow links wait for the same new configuration. Their
+// answers must share one encoded copy.
 TEST(large_config, FollowersThatDoNotReadShareOneDocument) {
   SingleControl c;
   c.Submit(RandomText(1, 100));
@@ -268,9 +272,9 @@
 }
 
 // Guards against an entry on a slow link that never receives the configuration.
-// At 10 Mbit/s, 1.2 MB take 0.9 s or longer. The entry canceled its watch after
-// 0.9 s in total and tried the next control process, with the same result. The
-// timeout must count from the last received bytes.
+// At 10 Mbit/s, 1.2 MB take 0.9 s or longer. The entry canceled its watch 0.9 s
+// after sending it and tried the next control process, with the same result.
+// The timeout must count from the last received bytes.
 TEST(large_config, WatchWaitsForASlowDocument) {
   struct ev_loop* loop = ev_loop_new(EVFLAG_AUTO);
   BootClock clock;
@@ -313,7 +317,7 @@
     started = true;
     answer->Write(absl::string_view(bytes).substr(sent, 16'000));
     sent += 16'000;
-    next = clock.Now() + Millis(150);  // 1.9 s for the whole document.
+    next = clock.Now() + Millis(150);  // Sending the document takes 1.9 s.
     if (sent >= bytes.size()) {
       answer->Finish();
       answer.reset();
@@ -324,11 +328,11 @@
   answer.reset();
 }
 
-// Guards against a link that is closed while its peer still sends. A document
-// fills the link for seconds, and the answer to a ping waits behind it in the
+// Guards against closing a link whose peer still sends. A document fills the
+// link for seconds, and the answer to a ping waits behind the document in the
 // peer's socket. The link was closed as silent after 0.9 s with most of the
 // document received, and the transfer started over on the next link. A peer
-// that sends any bytes is alive.
+// counts as alive if any of its bytes arrive.
 TEST(large_config, PeerThatStillSendsIsNotSilent) {
   struct ev_loop* loop = ev_loop_new(EVFLAG_AUTO);
   BootClock clock;
--- a/test/ledger_test.cc
+++ b/test/ledger_test.cc
@@ -45,10 +45,10 @@
   CHECK(BeginRequest(l, "t-1", 8) == LedgerKeyState::kKeyReused);
 }
 
-// Failure: a ticket is billed twice because the ledger is only in memory, the
+// Failure: a ticket is billed twice because the ledger is only in memory. The
 // agent is killed before the answer and restarted, and the caller resends.
-// After a restart, a started key may have run and must not run again; a
-// completed key gets its stored answer.
+// After the restart, a request whose key was started may have run and must not
+// run again. A resend with a completed key must get the stored answer.
 TEST(ledger, RestartKeepsStartedAndDoneKeys) {
   {
     Ledger l(path);
@@ -72,8 +72,9 @@
 }
 
 // Failure: the ledger does not open after a power loss during an append,
-// because the last line is incomplete. This line was never synced, so no
-// request depends on it: it is dropped and the other records are kept.
+// because the last line is incomplete. The incomplete line was never synced, so
+// no request depends on it. It must be dropped, and the other records must be
+// kept.
 TEST(ledger, IncompleteLastLineIsDropped) {
   {
     Ledger l(path);
@@ -87,7 +88,7 @@
 }
 
 // Compaction bounds the number of records over hundreds of changes, and the
-// ledger opens again after a restart with entries in it.
+// compacted ledger opens after a restart.
 TEST(ledger, CompactionKeepsStateAcrossRestart) {
   {
     Ledger l(path);
@@ -108,7 +109,7 @@
   CHECK(l.size() > 0);
 }
 
-// Failure: the agent terminates at its start because a record in the file has a
+// Failure: the agent terminates at its start. A record in the ledger file has a
 // value of the wrong type, for which the JSON library throws an exception.
 TEST(ledger, RecordWithWrongValueTypeIsDataLoss) {
   std::ofstream(path) << "{\"k\":1,\"op\":\"start\"}\n"
--- a/test/lister_test.cc
+++ b/test/lister_test.cc
@@ -88,8 +88,8 @@
 
 // Guards against a list of thousands of upstreams that is never read
 // completely. The list has 60 pages, and the source accepts 40 calls per
-// second. A lister that treats the rejection of page 41 as a failed read starts
-// over each second with the same first pages.
+// second. If the rejection of page 41 failed the read, the lister would start
+// over each second with the first 40 pages.
 TEST(lister, ReadsMorePagesThanCallsPerSecond) {
   FakeSource source(60, 40);
   Lister lister(source.loop(), source.clock(), source.MakeListSource());
@@ -110,9 +110,10 @@
   CHECK_FALSE(lister.busy());
 }
 
-// A short list is read within the time in which a draining upstream must be
-// known. A long list loads the reader's network link no more than a short one.
-// The source's rate limit takes precedence over both.
+// A short list is read often enough that a draining upstream is known within
+// the required time. Reading a long list loads the reader's network link no
+// more than reading a short one. The source's rate limit takes precedence over
+// both rules.
 TEST(lister, IntervalDependsOnListSizeAndRateLimit) {
   for (size_t n = 0; n <= 1200; n += 100) {
     CHECK_TRUE(ListInterval({n, 4}, 0) == Millis(600));
--- a/test/path_test.cc
+++ b/test/path_test.cc
@@ -1,6 +1,6 @@
-// Tests of real processes on 127.0.0.1: answers are complete, "not run" is
-// reported only when true, a request with a key runs at most once across
-// resends and restarts, planned stops interrupt no stream, silent connections
+// Tests of real processes on 127.0.0.1. Answers are complete. "not run" is
+// reported only when true. A request with a key runs at most once across
+// resends and restarts. Planned stops interrupt no stream. Silent connections
 // are replaced.
 #include <curl/curl.h>
 #include <signal.h>
@@ -24,8 +24,8 @@
 
 namespace {
 
-// The processes of one test. They are started with the default settings as
-// edited by the test, and stopped by their process ids at its end.
+// The processes of one test, which run with the default settings as edited by
+// the test. The destructor stops them by their process ids.
 struct Fleet {
   explicit Fleet(const std::function<void(json&)>& edit_settings = nullptr)
       : base_port(FreeBase()), dir(TempDir()) {
@@ -155,12 +155,12 @@
 TEST_GROUP(path){};
 
 // Failure: a crash-inducing request terminates one engine after another,
-// because its caller resends it and no process remembers the crashes. Here the
-// only engine is killed during the prefill of each of the first three sends.
+// because its caller resends it and no process remembers the crashes. The test
+// kills the only engine during the prefill of each of the first three sends.
 // The fourth send must be rejected as not run, and another request must be
 // served.
 TEST(path, CrashInducingRequestIsQuarantined) {
-  // The engine is killed before it sends a token.
+  // Step time that is long enough to kill the engine before it sends a token.
   constexpr int kStepMs = 1000;
   Fleet f(KeepOnlyUpstreams({"ledgerhand-1"}));
   f.StartEngine(1, kStepMs);
@@ -187,7 +187,7 @@
                      kGateReleaseHeaders);
   LONGS_EQUAL(503, r.status);
   CHECK_TRUE(absl::StrContains(r.body, "quarantined"));
-  // The engine is ejected for seconds after three consecutive failures.
+  // The engine stays ejected for seconds after its three consecutive failures.
   bool served = false;
   for (int k = 0; k < 20 && !served; ++k) {
     std::this_thread::sleep_for(std::chrono::milliseconds(500));
@@ -228,9 +228,9 @@
   CHECK_EQUAL(0LL, r.wasted_tokens);
 }
 
-// Failure: an engine is killed mid-stream and the end of its broken stream is
-// relayed as a normal end, so the caller takes a truncated answer for a
-// complete one. The entry must abort the caller's connection instead.
+// Failure: a caller takes a truncated answer for a complete one. An engine is
+// killed mid-stream, and the entry relays the end of the broken stream as a
+// normal end. The entry must abort the caller's connection instead.
 TEST(path, EngineKilledMidStreamAbortsCallerConnection) {
   Fleet f(KeepOnlyUpstreams({"ledgerhand-1"}));
   f.StartEngine(1, 50);
@@ -246,10 +246,10 @@
   CHECK(r.curl_code != 0);  // The caller sees that the answer is not complete.
 }
 
-// Failure: the agent is killed while the service executes a call, the caller
-// gets "not run", resends, and the ticket is billed twice. "not run" may be
-// reported only when no connection was made; here the answer must be "outcome
-// unknown".
+// Failure: a ticket is billed twice because the caller gets "not run" and
+// resends. The agent is killed while the service executes the call. "not run"
+// may be reported only if no connection was made; in this case the answer must
+// be "outcome unknown".
 TEST(path, NotRunIsReportedOnlyIfNeverSent) {
   Fleet f(KeepOnlyUpstreams({"scalehouse-1"}));
   f.StartAgent(4);
@@ -270,12 +270,12 @@
   CHECK_FALSE(absl::StrContains(lost.body, "not_run"));
   CHECK_EQUAL(502, lost.status);
   CHECK_EQUAL(1, CountExecutions(f));
-  // The service is killed during a call while the agent keeps running: the
-  // agent must not report "not run" for this failure either.
+  // The service is killed during a call while the agent keeps running. The
+  // agent must not report "not run" for this failure.
   f.StartAgent(4);
-  // The entry backs off from an agent that was just killed. Retries, a bounded
-  // number of times, until a call passes through the new agent, so that the
-  // service below is killed during a call.
+  // The entry backs off from an agent that was just killed. The request is
+  // retried, a bounded number of times, until a call passes through the new
+  // agent, so that the service below is killed during a call.
   HttpReply warm;
   for (int i = 0; i < 20 && warm.status != 200; ++i) {
     warm = Post(f.EntryUrl() + "/v1/services/scalehouse-1/bill",
@@ -288,15 +288,16 @@
   HttpReply cut = Post(f.EntryUrl() + "/v1/services/scalehouse-1/bill",
                        R"({"ticket":"T-3"})", BillingHeaders("k-cut"));
   service_killer.join();
-  CHECK_EQUAL(2, before);  // T-2 and W ran once each, before T-3.
+  CHECK_EQUAL(2, before);  // Tickets T-2 and W ran once each, before T-3.
   CHECK_FALSE(absl::StrContains(cut.body, "not_run"));
   CHECK_EQUAL(502, cut.status);
 }
 
 // Failure: a non-repeatable request runs twice because its key is not recorded
-// durably: the caller loses the answer and resends, or the agent is killed
-// during the call, restarted with its data directory, and the caller resends.
-// Each resend must get the stored answer or "outcome unknown".
+// durably. In the first case, the caller loses the answer and resends. In the
+// second case, the agent is killed during the call and restarted with its data
+// directory before the caller resends. Each resend must get the stored answer
+// or "outcome unknown".
 TEST(path, NonRepeatableRequestRunsOnceAcrossResendAndRestart) {
   Fleet f(KeepOnlyUpstreams({"scalehouse-1"}));
   f.StartService(600);
@@ -313,18 +314,19 @@
   Post(url, R"({"ticket":"B"})", BillingHeaders("adj-B"));
   killer.join();
   f.StartAgent(4);
-  std::this_thread::sleep_for(std::chrono::milliseconds(800));  // B completes.
+  // Ticket B completes.
+  std::this_thread::sleep_for(std::chrono::milliseconds(800));
   HttpReply resend = Post(url, R"({"ticket":"B"})", BillingHeaders("adj-B"));
   CHECK(resend.status == 502 || resend.status == 409);
   HttpReply resend_a = Post(url, R"({"ticket":"A"})", BillingHeaders("adj-A"));
   STRCMP_EQUAL(first.body.c_str(), resend_a.body.c_str());
-  CHECK_EQUAL(2, CountExecutions(f));  // A and B ran once each.
+  CHECK_EQUAL(2, CountExecutions(f));  // Tickets A and B ran once each.
 }
 
 // Failure: agents that get SIGTERM during a long stream exit at once and
-// interrupt the stream, or keep getting new requests. Agents must drain: the
-// stream completes, new requests are rejected, and the agents exit by
-// themselves.
+// interrupt the stream, or they continue to get new requests. Agents must
+// drain: the stream completes, new requests are rejected, and the agents then
+// exit by themselves.
 TEST(path, PlannedStopFinishesStreamsAndRejectsNewRequests) {
   Fleet f(KeepOnlyUpstreams({"ledgerhand-1", "ledgerhand-2"}));
   f.StartTwoEnginesAndEntry(40);
@@ -341,16 +343,16 @@
   CHECK_TRUE(f.WaitForOwnExit("agent-2", 5000));
   HttpReply after = Post(f.EntryUrl() + "/v1/chat/completions",
                          ChatBody("after", 4), kGateReleaseHeaders);
-  // Both agents have stopped: the request is rejected at once and does not
-  // hang.
+  // Both agents have stopped, so the request must be rejected at once instead
+  // of hanging.
   CHECK_EQUAL(503, after.status);
   CHECK_FALSE(after.headers["retry-after"].empty());
 }
 
-// Failure: requests hang on a silent connection, because TCP detects no error
-// when the agent that carries a stream is frozen (SIGSTOP). The entry's PING
-// must time out, the caller's connection must be aborted, and new requests must
-// go to the other agent.
+// Failure: requests hang on a silent connection. The agent that carries a
+// stream is frozen (SIGSTOP), which TCP does not detect as an error. The
+// entry's PING must time out, the caller's connection must be aborted, and new
+// requests must go to the other agent.
 TEST(path, FrozenAgentIsDetectedAndAvoided) {
   Fleet f(KeepOnlyUpstreams({"ledgerhand-1", "ledgerhand-2"}));
   f.StartTwoEnginesAndEntry(30);
@@ -369,8 +371,8 @@
                      ChatBody("frozen", 100), kGateReleaseHeaders, 8000);
   freezer.join();
   CHECK(frozen != 0);
-  // The entry's ping timeout ends the connection, not the caller's own timeout
-  // of 8 s (curl's code 28).
+  // The connection must end by the entry's ping timeout, not by the caller's
+  // own timeout of 8 s (curl's code 28).
   CHECK(r.curl_code != 0);
   CHECK(r.curl_code != CURLE_OPERATION_TIMEDOUT);
   HttpReply next = Post(f.EntryUrl() + "/v1/chat/completions",
--- a/test/replica_group.h
+++ b/test/replica_group.h
@@ -24,7 +24,7 @@
   absl::Status TruncateFrom(uint64_t index) override;
   absl::Status Rewrite(const StoredState& state) override;
   const StoredState& state() const { return state_; }
-  bool disk_full = false;  // If true, every write fails.
+  bool disk_full = false;  // If true, every write to this store fails.
 
  private:
   StoredState state_;
@@ -35,8 +35,8 @@
  public:
   Group(int founders, uint64_t seed, ReplicaOptions options = {});
 
-  // Adds a host with an empty disk that joins through the seeds. Returns its
-  // number.
+  // Adds a host with an empty disk that joins through the seeds. Returns the
+  // number of the host.
   int AddJoiner();
   // Advances the clock by `d` in small steps and delivers messages.
   void Run(Duration d);
@@ -46,10 +46,9 @@
   void Remove(int n);  // Kills the host; it can never be started again.
   // A frozen host does not tick or handle messages; its messages stay queued.
   void Freeze(int n, bool frozen);
-  // Drops (or no longer drops) messages from `a` to `b`, in this direction
-  // only.
+  // Starts or stops dropping messages from `a` to `b`, in this direction only.
   void Cut(int a, int b, bool cut);
-  // Cuts or restores all links of host `n`, in both directions.
+  // Disconnects or reconnects all links of host `n`, in both directions.
   void Isolate(int n, bool cut);
   void HealAll();
 
@@ -60,16 +59,16 @@
     return hosts_[static_cast<size_t>(n)].replica != nullptr &&
            !hosts_[static_cast<size_t>(n)].frozen;
   }
-  // Returns the running leader with the highest term, or -1.
+  // Returns the number of the running leader with the highest term, or -1.
   int Leader();
-  // Runs for up to `d` until there is a leader that can commit. Returns its
-  // number, or -1.
+  // Runs for up to `d` until there is a leader that can commit. Returns the
+  // leader's number, or -1.
   int AwaitLeader(Duration d);
 
   ManualClock clock;
   double drop_rate = 0;  // Fraction of messages that are lost.
-  // Transfer rate of each message; 0 means unlimited. Small messages overtake
-  // large ones, as on a link with multiplexed streams.
+  // Transfer rate of each message in bytes per second; 0 means unlimited. Small
+  // messages overtake large ones, as on a link with multiplexed streams.
   double bytes_per_s = 0;
   size_t bytes_sent = 0;
   std::mt19937_64 random;
--- a/test/replica_store_test.cc
+++ b/test/replica_store_test.cc
@@ -99,7 +99,7 @@
   }
 }
 
-// After hundreds of appends and a restart, the last entry is still there.
+// Hundreds of appended entries are read back after a restart.
 TEST(replica_store, RestartKeepsHundredsOfEntries) {
   std::string dir = TempDir();
   {
--- a/test/replica_test.cc
+++ b/test/replica_test.cc
@@ -52,7 +52,7 @@
 };
 
 // Measures how long a group of three has no leader after `restart` has stopped
-// and started it. Runs once for each seed from 1 to `seeds`.
+// and started the group. Runs once for each seed from 1 to `seeds`.
 ElectionTimes MeasureElectionTimes(int seeds,
                                    const std::function<void(Group&)>& restart) {
   ElectionTimes times;
@@ -97,10 +97,10 @@
 }
 
 // Guards against the loss of an acknowledged configuration after a host lost
-// its disk. A and B hold the configuration, and C missed it behind a partition.
-// A goes down, B restarts with an empty disk, and the partition heals. If B
-// kept its identity, it would vote for C, and the two would be a quorum without
-// the configuration. B must therefore restart with a new id, outside the group.
+// its disk. A and B hold the configuration; C missed it behind a partition. A
+// stops, B restarts with an empty disk, and the partition heals. With its old
+// identity, B would vote for C, and both would form a quorum without the
+// configuration. B must therefore restart with a new id, outside the group.
 TEST(replica, WipedHostDoesNotVote) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     Group g(3, seed);
@@ -126,10 +126,10 @@
   }
 }
 
-// Guards against a group that accepts no changes after it lost a second host. A
-// host is lost for good, an empty one joins at another address, and later
-// another host fails. The first dead member must no longer count toward the
-// quorum.
+// Guards against a group that accepts no changes after it lost a second host.
+// The first host is lost permanently, an empty host joins at another address,
+// and later a second host fails. By then, the first host must no longer count
+// toward the quorum.
 TEST(replica, ReplacedHostsDoNotRaiseTheQuorum) {
   Group g(4, 3);
   CHECK_TRUE(g.AwaitLeader(kMaxLeaderWait) >= 0);
@@ -149,10 +149,10 @@
   CHECK_TRUE(ProposeAndWait(g, 10));
 }
 
-// Guards against stale reads from a leader that was frozen. While it is frozen,
-// another leader is elected and commits. The old leader may still consider
-// itself the leader when it resumes, because its clock stood still. The read
-// barrier therefore asks the other members after the read has arrived.
+// Guards against stale reads from a leader that was frozen. While the leader is
+// frozen, another one is elected and commits. When the old leader resumes, it
+// may still consider itself the leader, because its clock stood still. The read
+// barrier must therefore query the other members after the read has arrived.
 TEST(replica, FrozenLeaderGivesNoStaleReads) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     Group g(3, seed);
@@ -170,7 +170,8 @@
 
 // Guards against a host that deposes a working leader when it returns from a
 // long partition. Without pre-vote, each failed election would raise the host's
-// term. With pre-vote, it first asks whether it could win and keeps its term.
+// term. With pre-vote, the host first queries whether it could win an election,
+// and keeps its term.
 TEST(replica, ReturningHostDoesNotDeposeTheLeader) {
   Group g(3, 5);
   int leader = g.AwaitLeader(kMaxLeaderWait);
@@ -197,7 +198,7 @@
 }
 
 // A joining replica receives a snapshot if the log entries that it lacks have
-// been compacted.
+// already been compacted.
 TEST(replica, JoinerCatchesUpFromSnapshot) {
   ReplicaOptions o;
   o.compact_entries = 8;
@@ -212,15 +213,15 @@
 
 // Guards against a restarted entry process that serves from an old
 // configuration. All hosts restart, one of them with an empty disk, and the
-// entry asks a replica while the group is forming. Contact with a leader does
-// not make a replica up to date: it may not have applied all that the leader
-// knows to be committed, or the leader may not have committed anything in its
-// term.
+// entry queries a replica while the group is forming. A replica in contact with
+// a leader may still be out of date. It may not have applied all that the
+// leader knows to be committed, or the leader may not have committed anything
+// in its term.
 TEST(replica, UpToDateOnlyWithAllCommittedEntries) {
   for (uint64_t seed = 1; seed <= 40; ++seed) {
     ReplicaOptions o;
     o.compact_entries = 8;
-    o.batch_bytes = 200;  // Catching up takes many messages.
+    o.batch_bytes = 200;  // Small, so that catching up takes many messages.
     Group g(3, seed, o);
     CHECK_TRUE(g.AwaitLeader(kMaxLeaderWait) >= 0);
     for (int v = 1; v <= 30; ++v) CHECK_TRUE(ProposeAndWait(g, v));
@@ -244,10 +245,11 @@
   }
 }
 
-// Guards against an outage that lasts 0.2 s longer than the processes need to
-// start, after all were stopped at once. All replicas start at the same time
-// and wait before they request votes. This wait was as long as if a leader
-// could exist, but there is none before any replica has had contact with one.
+// Guards against an outage that lasts 0.2 s longer than the start of the
+// processes, after all were stopped at once. All replicas start at the same
+// time and wait before they request votes. They waited as long as if there
+// could be a leader, although no replica had had contact with one since the
+// start.
 TEST(replica, SimultaneousStartElectsLeaderQuickly) {
   ElectionTimes t = MeasureElectionTimes(40, [](Group& g) {
     CHECK_TRUE(ProposeAndWait(g, 1));
@@ -258,11 +260,12 @@
   CHECK_TRUE(t.worst < Millis(600));
 }
 
-// Guards against a group without a leader for a second after all processes were
-// stopped at once and one of four hosts lost its disk. The other three start
-// together, and all three votes are needed. If two of them send pre-votes at
-// the same time, both win the pre-vote and then vote for themselves, and each
-// retry waits longer. Of two concurrent candidates, one must therefore yield.
+// Guards against a group without a leader for a second. All processes were
+// stopped at once, and one of four hosts lost its disk. The other three hosts
+// start together, and all three votes are needed. If two of them send pre-votes
+// at the same time, both win the pre-vote and then vote for themselves, and
+// each retry waits longer. One of two concurrent candidates must therefore
+// yield.
 TEST(replica, ConcurrentCandidatesDoNotSplitTheVote) {
   ElectionTimes t = MeasureElectionTimes(60, [](Group& g) {
     g.AddJoiner();
@@ -279,13 +282,13 @@
 // Differential test against a single copy that never fails. Runs random changes
 // and reads under random faults, with at most one lost disk at a time. Every
 // answered read returns at least the newest version that was acknowledged
-// before the read began. After all faults, the newest acknowledged version is
-// still there.
+// before the read began. After all faults, the newest acknowledged version can
+// still be read.
 TEST(replica, RandomHistoriesAgreeWithSingleCopy) {
   for (uint64_t seed = 1; seed <= 150; ++seed) {
     Group g(3, seed);
     if (seed % 2) g.AddJoiner();
-    int64_t newest_acked = 0;  // State of the single copy.
+    int64_t newest_acked = 0;  // Newest version of the single copy.
     int64_t next_version = 1;
     std::uniform_int_distribution<int> percent(0, 99);
     TimePoint wiped_at{};
@@ -316,8 +319,8 @@
       } else if (action < 96) {
         g.HealAll();
       } else if (g.clock.Now() - wiped_at > std::chrono::seconds(15)) {
-        // Only one disk is lost at a time: first start all other hosts and let
-        // them catch up.
+        // All other hosts are started and catch up first, so that only one disk
+        // is lost at a time.
         g.HealAll();
         for (int i = 0; i < g.size(); ++i) {
           g.Freeze(i, false);
--- a/test/settings_test.cc
+++ b/test/settings_test.cc
@@ -51,8 +51,9 @@
                ParseErrorOf(d).c_str());
 }
 
-// Guards against unchecked references: an account names a class that is not
-// declared, and its requests are only rejected at run time.
+// Guards against unchecked references. An account names a class that is not
+// declared, and without the check its requests would be rejected only at run
+// time.
 TEST(settings, DanglingClassReferenceIsRejected) {
   json d = DefaultSettings();
   d["accounts"][0]["classes"].push_back("race-day");
--- a/test/upstream_pool_test.cc
+++ b/test/upstream_pool_test.cc
@@ -55,11 +55,11 @@
   }
 };
 
-// Guards against stale state of a restarted upstream, which would get no
-// requests or count as holding prompts that it has lost. The upstream restarts
-// under its old id while its board marks it as terminated (another incarnation
-// answered at its address), loaded and connected. State kept by id alone would
-// survive the restart.
+// Guards against stale state of a restarted upstream. With that state it would
+// get no requests, or count as holding prompts that it has lost. The upstream
+// restarts under its old id while its board marks it as terminated, loaded and
+// connected. Another incarnation has answered at its address. State kept by id
+// alone would survive the restart.
 TEST(upstream_pool, RestartResetsTheState) {
   UpdateList(Engine(1000));
   std::shared_ptr<UpstreamLink> link = SetFailedState();
@@ -74,8 +74,8 @@
   CHECK_FALSE(link->open());
 }
 
-// Guards against an outdated list that arrives late and restores the earlier
-// start time. The list lags and several processes read it.
+// Guards against an outdated list that arrives late and restores an upstream's
+// earlier start time. The list may lag, and several processes read it.
 TEST(upstream_pool, OutdatedListDoesNotRestoreTheEarlierStart) {
   UpdateList(Engine(2000));
   LONGS_EQUAL(0, UpdateList(Engine(1000)).size());
--- a/test/watch_client_test.cc
+++ b/test/watch_client_test.cc
@@ -59,7 +59,7 @@
     return loop_;
   }
   const Clock& clock() { return clock_; }
-  std::vector<int> watches_received;  // By control process.
+  std::vector<int> watches_received;  // Number of watches by control process.
 
  private:
   struct ev_loop* loop_;
@@ -76,8 +76,8 @@
 // Guards against list changes that cross between data centres once per entry,
 // because entries follow control processes in random data centres. A client
 // must follow the control process of its own data centre, even if its seed is
-// another one. While that process is down, the client follows another; when it
-// is back, the client returns to it.
+// in another one. While the control process of its data centre is down, the
+// client follows another; afterwards it must return.
 TEST(watch_client, FollowsTheControlProcessOfItsDataCentre) {
   FakeControls controls(3);
   WatchOptions o;
