--- a/src/agent.cc
+++ b/src/agent.cc
@@ -22,7 +22,8 @@
 constexpr double kDrainCheckSeconds = 0.05;
 // Retry-After value sent with requests that this agent rejects.
 constexpr int kRetryAfterSeconds = 1;
-// An engine next to this agent either answers at once or does not listen.
+// Timeout of a liveness check. An engine on the agent's own host either answers
+// at once or does not listen.
 constexpr auto kLivenessCheckTimeout = Millis(250);
 constexpr int kMaxLivenessChecks = 5;
 constexpr char kEventStreamType[] = "text/event-stream";
@@ -58,12 +59,14 @@
   TimePoint sent_at{};
   std::string key;
   bool started = false;
-  bool relaying = false;  // The answer's head was sent to the entry.
+  bool relaying = false;  // The head of the answer was sent to the entry.
   bool event_stream = false;
   bool end_marker_seen = false;
   int status = 0;
-  std::string tail;  // Last bytes received, to find the end-of-stream marker.
-  std::string answer_for_ledger;  // The answer so far, if it has a key.
+  // Last bytes received, searched for the end-of-stream marker.
+  std::string tail;
+  // Answer so far, if the call has an idempotency key.
+  std::string answer_for_ledger;
 };
 
 Agent::Agent(struct ev_loop* loop, const Clock& clock, Settings settings,
@@ -182,7 +185,7 @@
   const LedgerEntry* entry = nullptr;
   absl::Status s = ledger_.BeginRequest(key, fingerprint, &key_state, &entry);
   if (!s.ok()) {
-    // The request is not sent when its start is not recorded, so it is safe to
+    // A request whose start is not recorded is not sent, so it is safe to
     // report that it did not run.
     LogWarn("ledger_failed",
             {{"key", key}, {"error", std::string(s.message())}});
@@ -240,8 +243,9 @@
   call.on_data = [forwarded](absl::string_view data) {
     if (!forwarded->relaying) {
       forwarded->relaying = true;
-      // Detects streams of engines that do not send the content type. A stated
-      // content type counts first: the first chunk may be shorter than "data:".
+      // Detects the streams of engines that do not send a content type. A
+      // content type that is sent takes precedence, because the first chunk may
+      // be shorter than "data:".
       forwarded->event_stream |= absl::StartsWith(data, "data:");
       forwarded->out->StartStream(
           forwarded->status,
@@ -313,7 +317,8 @@
   check.on_done = [this, upstream, interrupted_call, reason = std::move(reason),
                    checks_left](const HttpCallResult& r) {
     // A killed process closes its connections before its listening port. The
-    // check may still have connected and been interrupted too: it is repeated.
+    // check may therefore have connected and then been interrupted, and is
+    // repeated.
     if (!r.status.ok() && !r.never_sent && checks_left > 1) {
       AnswerInterruptedCall(upstream, interrupted_call, reason,
                             checks_left - 1);
@@ -322,8 +327,8 @@
     HeaderList headers = ErrorHeaders(ErrorKind::kOutcomeUnknown, true);
     if (!r.status.ok() && r.never_sent) {
       Termination& termination = terminations_[upstream];
-      // A call sent after the last observed termination was interrupted by a
-      // new one.
+      // The call was sent after the last observed termination, so a new
+      // termination interrupted it.
       if (interrupted_call.sent_at >= termination.observed_at) {
         termination = {clock_.Now(), absl::StrCat(absl::Hex(RandomSeed()))};
       }
@@ -340,9 +345,9 @@
 
 // Forwards an order to the upstream. An order carries the fencing number of the
 // control leader that issued it. The agent rejects a number lower than the
-// highest one it has forwarded, whether or not the upstream checks it too: an
-// old leader that is partitioned and still issues orders must not undo a newer
-// order.
+// highest one it has forwarded, even if the upstream checks numbers itself.
+// Otherwise an old leader that is partitioned and still issues orders could
+// undo a newer order.
 void Agent::ForwardOrder(const H2Request& req, const UpstreamSettings& u,
                          std::shared_ptr<H2Stream> out) {
   int64_t fencing = std::atoll(req.Header(kH2Fencing).c_str());
@@ -372,8 +377,9 @@
   client_.Start(std::move(call));
 }
 
-// Sends the engine's own load report, which lags, and whether this agent is
-// draining, so that entries stop sending it requests.
+// Answers with the load of the upstream and whether this agent is draining. The
+// load is the engine's own report, which lags. Entries send no requests to a
+// draining agent.
 void Agent::SendLoadReport(const UpstreamSettings& u,
                            std::shared_ptr<H2Stream> out) {
   if (u.kind != "engine") {
--- a/src/agent.h
+++ b/src/agent.h
@@ -70,9 +70,10 @@
   // The last observed termination of an upstream process.
   struct Termination {
     TimePoint observed_at{};
-    std::string id;  // Distinguishes it from other terminations.
+    std::string id;  // Random id that identifies the termination.
   };
-  std::map<std::string, Termination> terminations_;  // By upstream name.
+  // Terminations by upstream name.
+  std::map<std::string, Termination> terminations_;
   std::map<std::string, int64_t> highest_fencing_;
   bool draining_ = false;
   TimePoint drain_started_{};
--- a/src/agent_link.h
+++ b/src/agent_link.h
@@ -28,7 +28,7 @@
   bool open() const override { return false; }
   bool sent() const override { return sent_; }
   // Has no effect: this process buffers what a slow caller has not read yet.
-  // Flow control can be omitted because agents are few and close by.
+  // Agents are few and close by, so flow control is not needed.
   void PauseRead(bool) override {}
   TimePoint idle_since() const override { return {}; }
   Duration keep_for() const override { return {}; }
--- a/src/bench.cc
+++ b/src/bench.cc
@@ -20,8 +20,9 @@
 constexpr auto kStep = std::chrono::milliseconds(1);
 constexpr size_t kMaxWaiting = 128;
 constexpr char kService[] = "engine";
-// A class of work in the trace: tier, latency target, share of arrivals, tokens
-// of prompt and output, and the time that an idle engine takes for a request.
+// A class of work in the trace: tier, latency target, share of arrivals,
+// numbers of prompt and output tokens, and the time that an idle engine takes
+// for a request.
 struct TraceClass {
   Tier tier;
   Millis target;
@@ -100,7 +101,7 @@
         queue_.Leave(seq);
         RecordRejection(seq);
       }
-      // As in the gateway: once a request finds no slot, skip similar ones.
+      // As the gateway does, skips requests similar to one that found no slot.
       std::set<std::pair<int, uint64_t>> without_slot;
       for (uint64_t seq : queue_.InOrder(kService, clock_.Now())) {
         std::pair<int, uint64_t> similar(trace_[seq].klass,
--- a/src/bench.h
+++ b/src/bench.h
@@ -15,9 +15,9 @@
 struct BenchReport {
   uint64_t signature = 0;  // Hash of all decisions of the tiered policy.
   int requests = 0;
-  int top_tier_shed = 0;  // Must be 0.
+  int top_tier_shed = 0;  // Top-tier requests rejected; must be 0.
   int top_tier_served = 0;
-  int lowest_tier_served = 0;  // Must be > 0: no starvation.
+  int lowest_tier_served = 0;  // Must be > 0: the lowest tier must not starve.
   double max_lowest_wait_s =
       0;  // Longest wait of a served lowest-tier request.
   int naive_top_tier_refused =
--- a/src/drill.h
+++ b/src/drill.h
@@ -19,7 +19,8 @@
 // on and off. Thread safety: thread safe; holds only a path.
 class Drill {
  public:
-  // Returns the drill that the environment names, or an inactive one.
+  // Returns the drill with the file that MEDLARWALK_DRILL names, or an inactive
+  // drill if the variable is not set.
   static Drill FromEnvironment();
   bool active() const { return !path_.empty(); }
   int peer_listen_port() const;
--- a/src/entry.cc
+++ b/src/entry.cc
@@ -14,13 +14,13 @@
 using nlohmann::json;
 
 constexpr double kTickSeconds = 0.01;
-// Engines' load reports lag by more than this, so polling more often would not
-// help.
+// Interval of load polls. Engines' load reports lag by more than this, so more
+// frequent polls would not help.
 constexpr double kLoadPollSeconds = 0.5;
 // Retries allowed per window in addition to the budget's share of requests, so
 // that an entry with little traffic can retry.
 constexpr double kBaseRetriesPerWindow = 10;
-// A service with fewer engines than this does not divide them by shape of work.
+// Minimum number of engines of a service for dividing them by shape of work.
 // Deployments of this API have too few engines per model for it.
 constexpr int kMinEnginesToSplit = 6;
 // An engine is a straggler when its inter-token gap is this many times the gap
@@ -36,13 +36,15 @@
                                    EntryPolicyKind policy) {
   GatewayOptions o;
   o.data_centre = host.data_centre;
-  // The division by kBudgetUse gives this entry the whole configured retry
-  // budget: it shares its allowance with no other process.
+  // The gateway uses only the share kBudgetUse of its retry allowance. Dividing
+  // by it gives this entry the whole configured budget, which it shares with no
+  // other process.
   o.retry.ratio = s.entry.retry_budget_percent / 100.0 / kBudgetUse;
   o.retry.slack = kBaseRetriesPerWindow / kBudgetUse;
   o.connection_share = 1.0;
   o.placement.split_from = kMinEnginesToSplit;
-  // The settings already limit the requests that an entry sends to an engine.
+  // No additional limit: the settings already limit the requests that an entry
+  // sends to an engine.
   o.placement.own_generations_share = 0;
   o.placement.most_plain_load = 1.0;
   o.placement.straggler_factor = kStragglerFactor;
--- a/src/entry.h
+++ b/src/entry.h
@@ -56,7 +56,7 @@
   const HostSettings* host_;
   EntryPolicyKind policy_;
   Metrics metrics_;
-  // By host name.
+  // Clients by host name of the agent.
   std::map<std::string, std::unique_ptr<H2Client>> agent_clients_;
   std::vector<UpstreamInfo> upstreams_;
   Gateway gateway_;
--- a/src/fake_engine.cc
+++ b/src/fake_engine.cc
@@ -30,7 +30,7 @@
   int max_tokens = kDefaultMaxTokens;
   int emitted_tokens = 0;
   TimePoint first_token_at;
-  std::string answer_text;  // The answer so far, if it is not streamed.
+  std::string answer_text;  // Answer so far, if it is not streamed.
 };
 
 FakeEngine::FakeEngine(struct ev_loop* loop, const Clock& clock,
@@ -198,7 +198,7 @@
     } else {
       r.answer_text += token;
       if (truncate) {
-        // Stands for a crash before the answer is complete.
+        // Simulates a crash before the answer is complete.
         r.exchange->Respond(500, JsonHeaders(),
                             R"({"error":"engine crashed"})");
       } else if (last) {
@@ -223,7 +223,8 @@
 }
 
 void FakeEngine::HandleLoad(std::shared_ptr<HttpExchange> ex) {
-  // The oldest sample kept is about report_lag old; it is the reported load.
+  // The oldest sample kept is about report_lag old. Its load is the one
+  // reported.
   json out = {{"running", 0}, {"waiting", 0}};
   if (!load_history_.empty()) {
     out["running"] = load_history_.front().running;
--- a/src/fake_engine.h
+++ b/src/fake_engine.h
@@ -29,14 +29,16 @@
   std::string address = "127.0.0.1";
   int port = 0;
   Millis step{10};  // Time of a decode step with an empty batch.
-  double extra_step_us_per_request = 300;  // Added to the step time.
+  // Added to the step time per request in the batch.
+  double extra_step_us_per_request = 300;
   int max_batch_size = 64;  // Maximum number of requests decoded together.
-  double prefill_us_per_char = 20;  // Of the uncached part of a prompt.
-  int prefix_cache_entries = 256;   // Capacity of the prefix cache.
-  Millis report_lag{500};           // Age of the reported load.
-  Millis cache_event_delay{300};    // Delay before a cache event is visible.
-  double cache_event_drop = 0.1;    // Share of cache events never published.
-  bool checks_fencing = true;       // Rejects orders with a stale number.
+  // Prefill time per character not in the cache.
+  double prefill_us_per_char = 20;
+  int prefix_cache_entries = 256;  // Capacity of the prefix cache.
+  Millis report_lag{500};          // Age of the reported load.
+  Millis cache_event_delay{300};   // Delay before a cache event is visible.
+  double cache_event_drop = 0.1;   // Share of cache events never published.
+  bool checks_fencing = true;  // Rejects orders with a stale fencing number.
   uint64_t seed = 1;
 };
 
--- a/src/h2.cc
+++ b/src/h2.cc
@@ -18,15 +18,16 @@
 
 namespace {
 
-// Delay before a new connection attempt after a connection has failed, so that
-// a dead agent does not get retries that fail immediately.
+// Delay before a new connection attempt after a connection has failed. It
+// prevents a rapid sequence of failing attempts while an agent is dead.
 constexpr auto kReconnectBackoff = std::chrono::milliseconds(200);
 
 // Time limits of a connection attempt: initial and largest. A reachable host
 // answers within a round trip, and a new connection resends a lost first packet
-// sooner than the kernel retransmits it. The limit doubles after each failure:
-// a round trip takes longer over a link where packets queue, and attempts that
-// always end before it lengthen the queue and never succeed.
+// sooner than the kernel retransmits it. The limit doubles after each failure,
+// because a round trip takes longer over a link where packets queue. With a
+// limit below that round trip, no attempt would ever succeed, and the attempts
+// would lengthen the queue.
 constexpr auto kConnectTimeout = std::chrono::milliseconds(300);
 constexpr auto kMaxConnectTimeout = std::chrono::milliseconds(1200);
 
@@ -241,7 +242,8 @@
   H2Connection* c = self->connection_.get();
   if (!c) return;
   if (!c->connected()) {
-    // A host without power or behind a network partition does not answer.
+    // Gives up the attempt after a time limit: a host without power or behind a
+    // network partition never answers.
     if (now - c->opened_at() > self->connect_timeout_) {
       self->connect_timeout_ =
           std::min<Millis>(2 * self->connect_timeout_, kMaxConnectTimeout);
@@ -263,7 +265,7 @@
 void H2Client::CloseSilentConnection(absl::string_view why) {
   ++dead_connections_;
   last_failure_ = clock_.Now();
-  // Log each loss once, not every failed probe after it.
+  // Log the loss of a connection once, and not each failed probe that follows.
   if (!suspect_) {
     LogWarn("connection_silent",
             {{"peer", absl::StrCat(address_, ":", port_)}, {"why", why}});
--- a/src/h2.h
+++ b/src/h2.h
@@ -166,7 +166,7 @@
   const Clock& clock_;
   std::string address_;
   int port_;
-  // Time limit of a connection attempt: the initial and the current value.
+  // Time limit of a connection attempt: initial value and current value.
   const Millis initial_connect_timeout_;
   Millis connect_timeout_;
   Millis ping_interval_;
@@ -179,8 +179,8 @@
   };
   std::map<int32_t, StreamLocation> streams_;
   int32_t next_handle_ = 0;
-  // Connections on which the peer sent GOAWAY. They get no new streams, but
-  // their open streams run to the end: a draining agent finishes its answers.
+  // Connections on which the peer sent GOAWAY. They get no new streams. Their
+  // open streams run to the end, because a draining agent finishes its answers.
   std::vector<std::unique_ptr<H2Connection>> draining_connections_;
   ev_timer ping_timer_{};
   int dead_connections_ = 0;
--- a/src/h2_connection.h
+++ b/src/h2_connection.h
@@ -157,9 +157,10 @@
   bool connected() const { return connected_; }
   bool ping_outstanding() const { return ping_outstanding_; }
   TimePoint ping_sent_at() const { return ping_sent_at_; }
-  // Returns the time since which a ping is outstanding and no bytes have been
-  // received; `now` when no ping is outstanding. Any received bytes count: the
-  // answer to a ping may be queued behind a lot of other data.
+  // Returns the time from which on a ping is outstanding and no bytes have been
+  // received. Returns `now` when no ping is outstanding. Any received bytes
+  // count, because the answer to a ping may be queued behind a lot of other
+  // data.
   TimePoint SilentSince(TimePoint now) {
     if (data_received_) last_received_at_ = now;
     data_received_ = false;
@@ -498,7 +499,7 @@
   bool flush_pending_ = false;
   bool ping_outstanding_ = false;
   bool data_received_ =
-      false;  // Bytes were received since the last SilentSince().
+      false;  // Whether bytes were received since the last SilentSince().
   TimePoint last_received_at_{};
   TimePoint ping_sent_at_{};
   TimePoint opened_at_{};
--- a/src/http1.cc
+++ b/src/http1.cc
@@ -12,7 +12,7 @@
 namespace medlarwalk {
 namespace {
 
-constexpr int kHttp11 = 11;  // HTTP/1.1 in the version numbers of Beast.
+constexpr int kHttp11 = 11;  // Beast's version number for HTTP/1.1.
 
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
--- a/src/http1.h
+++ b/src/http1.h
@@ -21,13 +21,15 @@
 
 // The start line and header fields of one message.
 struct MessageHead {
-  std::string method;  // Requests only.
-  std::string target;  // Requests only: path and query, unmodified.
-  int status = 0;      // Answers only.
-  std::string reason;  // Answers only: reason phrase.
+  std::string method;  // Set in requests only.
+  std::string target;  // Path and query, unmodified; requests only.
+  int status = 0;      // Set in answers only.
+  std::string reason;  // Reason phrase; answers only.
   HeaderList headers;
   bool keep_alive = false;
-  bool reads_chunks = true;  // Requests only: false for an HTTP/1.0 sender.
+  // Whether the sender can read a chunked answer; requests only, false for
+  // HTTP/1.0.
+  bool reads_chunks = true;
   std::optional<uint64_t> content_length;
 
   // Returns the first value of header `name` (case-insensitive), or nullptr.
--- a/src/http1_client.cc
+++ b/src/http1_client.cc
@@ -10,10 +10,11 @@
 namespace {
 
 constexpr uint32_t kAnswerHeaderLimit = 64 * 1024;
-// Effectively unlimited: the owner of the call limits how much of an answer it
+// Effectively no limit. The owner of the call limits how much of an answer it
 // keeps in memory.
 constexpr uint64_t kAnswerBodyLimit = 1ull << 40;
-// How long an idle connection is reused if the upstream states no time.
+// Time for which an idle connection may be reused if the upstream states no
+// idle time.
 constexpr auto kDefaultKeepAliveTime = std::chrono::seconds(4);
 // Subtracted from the idle time that the upstream states, which is in whole
 // seconds, so that no request is sent while the upstream closes the connection.
@@ -103,7 +104,7 @@
 
 void Http1Client::OnData(absl::string_view data) {
   if (!busy_) {
-    // Bytes after a complete answer belong to no request.
+    // Bytes received while no call is active belong to no request.
     Close();
     return;
   }
@@ -130,7 +131,8 @@
 void Http1Client::OnMessageEnd() {
   message_end_ = false;
   if (!answers_call_) {
-    // Skip an interim answer, or an answer to an earlier request.
+    // The message was an interim answer or the answer to an earlier request:
+    // skip it.
     if (!reusable_) {
       Close();
       EndCall(CallEnd::kNoAnswer, "closed after another answer");
@@ -140,8 +142,8 @@
     if (is_head_request_) parser_.ExpectNoBody();
     return;
   }
-  // The connection cannot be reused when bytes follow the answer, which would
-  // be parsed as the next answer, or when the request is not completely sent:
+  // The connection cannot be reused in two cases. Bytes that follow the answer
+  // would be parsed as the next answer. If the request is not completely sent,
   // the upstream would parse the rest of its body as the next request.
   if (!received_.empty() || !reusable_ || (tcp_ && tcp_->unsent() > 0)) Close();
   EndCall(CallEnd::kWhole, EndName(parser_.end_known_by()));
--- a/src/http1_client.h
+++ b/src/http1_client.h
@@ -47,7 +47,8 @@
   bool sent() const override { return sent_; }
   void PauseRead(bool paused) override;
   TimePoint idle_since() const override { return idle_since_; }
-  // Returns the idle time stated by the upstream, or a default.
+  // Returns how long the connection may be reused while idle, as stated by the
+  // upstream or by default.
   Duration keep_for() const override { return keep_alive_time_; }
 
  private:
@@ -62,7 +63,7 @@
   Http1Parser parser_;
   std::string received_;
   UpstreamCall call_;
-  std::string request_;           // Encoded request, until it is sent.
+  std::string request_;           // Encoded request; cleared once it is sent.
   bool is_head_request_ = false;  // HEAD request: its answer has no body.
   bool busy_ = false;
   bool sent_ = false;
--- a/src/http_client.cc
+++ b/src/http_client.cc
@@ -13,7 +13,7 @@
   curl_slist* headers = nullptr;
   bool status_reported = false;
   bool cancelled = false;
-  int send_attempts = 0;  // Attempts by libcurl to send the request.
+  int send_attempts = 0;  // Number of times libcurl began to send the request.
 
   // Passes the status and the Content-Type to on_status.
   void ReportStatus() {
--- a/src/http_client.h
+++ b/src/http_client.h
@@ -36,7 +36,7 @@
 struct HttpCall {
   std::string method = "POST";
   std::string url;
-  std::vector<std::string> headers;  // "Name: value".
+  std::vector<std::string> headers;  // Lines of the form "Name: value".
   std::string body;
   Millis timeout{30000};
   Millis connect_timeout{1000};
--- a/src/ledger.h
+++ b/src/ledger.h
@@ -19,7 +19,7 @@
 
 namespace medlarwalk {
 
-// The state of a key as found by BeginRequest.
+// The state of an idempotency key as found by BeginRequest.
 enum class LedgerKeyState {
   kNew,         // Not in the ledger before; now recorded as started.
   kRunning,     // Started by this process and not completed yet.
@@ -29,7 +29,7 @@
   kKeyReused,   // The key was used with a different request body.
 };
 
-// The record of one key.
+// The record of one idempotency key.
 struct LedgerEntry {
   uint64_t fingerprint = 0;  // Hash of the request body.
   bool done = false;
--- a/src/own_api.cc
+++ b/src/own_api.cc
@@ -19,15 +19,15 @@
 
 constexpr char kChatPath[] = "/v1/chat/completions";
 constexpr char kServicePrefix[] = "/v1/services/";
-// Maximum number of upstreams that one request is sent to.
+// Maximum number of upstreams to which the gateway sends one request.
 constexpr int kMaxAttempts = 3;
-// This API sets no time limit for streams. An answer that takes this long is
-// treated as a fault.
+// Time after which an answer counts as failed. This API itself sets no time
+// limit for streams.
 constexpr auto kMaxAnswerTime = std::chrono::minutes(10);
-// Prompts that share this many leading characters prefer the same engine
-// (prefix affinity).
+// Number of leading characters for prefix affinity: prompts that have these
+// characters in common prefer the same engine.
 constexpr size_t kAffinityPrefixChars = 64;
-// Approximate, for estimates of prompt lengths.
+// Approximate value for estimates of prompt lengths.
 constexpr int64_t kCharsPerToken = 4;
 
 absl::string_view PathWithoutQuery(const MessageHead& head) {
@@ -125,7 +125,8 @@
     }
   }
   facts->prompt_tokens = prompt_chars / kCharsPerToken;
-  // One part shared with other prompts and one part of this request only.
+  // The prompt has one part shared with other prompts and one part that only
+  // this request has.
   facts->parts = {{StableHash(first_text), facts->prompt_tokens}, {0, 0}};
   return absl::OkStatus();
 }
@@ -160,8 +161,8 @@
   if (!st.ok()) return st;
   std::string key = head.Value(kHeaderIdempotencyKey);
   facts.repeatable = key.empty() && head.Value(kHeaderNotRepeatable).empty();
-  // Requests with the same key go to the same upstream, because its agent's
-  // ledger records whether one of them was started.
+  // Requests with the same idempotency key go to the same upstream, because the
+  // ledger of its agent records whether one of them was started.
   if (!key.empty()) facts.pinned = std::max<uint64_t>(1, StableHash(key));
   int64_t ms = 0;
   if (absl::SimpleAtoi(head.Value(kHeaderDeadlineMs), &ms) && ms > 0) {
@@ -170,8 +171,8 @@
   return facts;
 }
 
-// Writes the request for the agent, which calls its upstream at the path
-// written here.
+// Writes the request to the agent. The agent calls its upstream at the path of
+// this request.
 OutgoingRequest WriteRequest(const MessageHead& head, const ForwardFacts& facts,
                              absl::string_view body) {
   OutgoingRequest out;
@@ -231,7 +232,8 @@
   };
   d.write_request = WriteRequest;
   d.read_answer = ReadAnswer;
-  // Agents' headers with this prefix are meant for entries, not for callers.
+  // Agents' headers with the prefix "mw-" are meant for entries and are not
+  // forwarded to callers.
   d.passes_on = [](absl::string_view name) {
     return !absl::StartsWith(name, "mw-");
   };
--- a/src/settings.h
+++ b/src/settings.h
@@ -21,9 +21,10 @@
   std::string name;
   std::string role;  // "entry", "agent" or "control".
   std::string data_centre;
-  std::string address;   // IP address to listen on; others connect to it.
-  int port = 0;          // HTTP for callers (entry) or HTTP/2 (agent).
-  int metrics_port = 0;  // Prometheus /metrics; 0: served on `port`.
+  // IP address to listen on, to which other hosts connect.
+  std::string address;
+  int port = 0;  // Port for HTTP from callers (entry) or HTTP/2 (agent).
+  int metrics_port = 0;  // Port of Prometheus /metrics; 0: served on `port`.
 };
 
 // A class of work with its tier and latency targets.
@@ -38,7 +39,7 @@
 struct AccountSettings {
   std::string name;
   std::vector<std::string> classes;
-  int max_in_flight = 0;  // Per entry; 0 means no limit.
+  int max_in_flight = 0;  // Requests in flight per entry; 0: no limit.
 };
 
 // An upstream: a model engine or a plain service, and the agent in front of it.
@@ -47,18 +48,20 @@
   std::string kind;   // "engine" or "service".
   std::string agent;  // Host name of the agent in front of the upstream.
   std::string url;    // Base URL the agent calls, e.g. http://127.0.0.1:9001
-  std::vector<std::string> models;  // Engines only.
-  bool checks_fencing = false;      // Whether it rejects stale orders itself.
-  int max_in_flight = 0;            // Concurrent requests from one entry.
+  // Models that an engine serves; empty for services.
+  std::vector<std::string> models;
+  // Whether the upstream rejects stale orders itself.
+  bool checks_fencing = false;
+  int max_in_flight = 0;  // Maximum concurrent requests from one entry.
 };
 
 // Admission and scheduling limits of each entry.
 struct EntryPolicy {
-  int queue_limit = 0;           // Queued requests per entry, over all classes.
-  Millis starvation_bound{0};    // Longest wait of a lower tier.
-  int retry_budget_percent = 0;  // Retries as a share of first attempts.
+  int queue_limit = 0;  // Maximum queued requests per entry, over all classes.
+  Millis starvation_bound{0};  // Wait after which a lower-tier request starves.
+  int retry_budget_percent = 0;  // Retries in percent of first attempts.
   Millis ping_interval{0};       // Interval of HTTP/2 PINGs to each agent.
-  Millis ping_timeout{0};        // Connection is closed after this silence.
+  Millis ping_timeout{0};        // Silence after which a connection is closed.
 };
 
 // The content of a settings file.
--- a/src/tcp.cc
+++ b/src/tcp.cc
@@ -70,11 +70,10 @@
                                       sizeof(addr)) == 0 ||
                               errno == EINPROGRESS);
   c->refused_ = address_valid && !ok && errno == ECONNREFUSED;
-  // An immediate failure is reported through the timer, so that the caller has
-  // set its events by then.
-  // The loop's clock shows the start of the current iteration. Without the
-  // update, a timer set late in a long iteration would expire before the loop
-  // polls the socket again.
+  // A connection attempt that fails immediately is reported through the timer,
+  // so that the caller can set its callbacks first. The loop's clock shows the
+  // start of the current iteration. Without the update, a timer set late in a
+  // long iteration would expire before the loop polls the socket again.
   ev_now_update(loop);
   ev_timer_set(&c->timer_, ok ? ToSeconds(timeout) : 0., 0.);
   ev_timer_start(loop, &c->timer_);
@@ -116,8 +115,8 @@
   if (connected_ && unsent() == 0) {
     ssize_t n = send(fd_, data.data(), data.size(), MSG_NOSIGNAL);
     if (n > 0) data.remove_prefix(static_cast<size_t>(n));
-    // A failed send also causes an event on the socket. The loop handles it, so
-    // that no callback runs inside Write().
+    // A failed send is not reported here. It also causes an event on the
+    // socket, which the loop handles, so that no callback runs inside Write().
     if (data.empty()) return;
   }
   out_.append(data.data(), data.size());
@@ -308,7 +307,8 @@
       self->on_accept_(fd);
       continue;
     }
-    // Interrupted, or the peer has already disconnected: try the next one.
+    // The call was interrupted, or the peer has already disconnected: accept
+    // the next connection.
     if (errno == EINTR || errno == ECONNABORTED) continue;
     if (errno == EAGAIN || errno == EWOULDBLOCK) return;
     LogWarn("accept_refused", {{"why", std::strerror(errno)}});
--- a/src/tcp.h
+++ b/src/tcp.h
@@ -21,9 +21,9 @@
 // writes are sent immediately.
 void SetNonBlocking(int fd);
 
-// Calls SetNonBlocking() and sets two limits for a connection. A connection
-// whose peer acknowledges nothing fails within seconds. Few unsent bytes wait
-// in the kernel, because urgent data cannot overtake data that is queued there.
+// Calls SetNonBlocking() and sets two limits of a connection. The connection
+// fails within seconds if its peer acknowledges nothing. The kernel queues few
+// unsent bytes, because urgent data cannot overtake queued data.
 void PrepareConnection(int fd);
 
 class TcpConnection;
@@ -133,8 +133,9 @@
   int fd_ = -1;
   bool paused_ = false;
   ev_io io_{};
-  // Runs after accept failed for lack of file descriptors. Without this delay
-  // the socket stays readable and the loop would spin.
+  // Resumes accepting some time after accept has failed for lack of file
+  // descriptors. Without a delay the loop would spin, because the socket stays
+  // readable.
   ev_timer retry_{};
 };
 
--- a/test/procs.cc
+++ b/test/procs.cc
@@ -136,8 +136,8 @@
 }
 
 int FreeBase() {
-  // Below the kernel's ephemeral range (32768 and up), so that no outgoing
-  // connection holds a port on which a test wants to listen.
+  // The range is below the kernel's ephemeral ports (32768 and up), so that no
+  // outgoing connection holds a port on which a test wants to listen.
   constexpr int kFirst = 20000;
   constexpr int kBases = 240;
   static int next = static_cast<int>(getpid());
@@ -148,8 +148,9 @@
     a.sin_family = AF_INET;
     a.sin_port = htons(static_cast<uint16_t>(base_port + kPortsPerRange - 1));
     inet_pton(AF_INET, "127.0.0.1", &a.sin_addr);
-    // Listens until the process ends: two test processes with the same ports
-    // would reach each other's servers.
+    // The socket listens until this process ends and so marks the range as
+    // taken. Two test processes with the same ports would reach each other's
+    // servers.
     if (bind(fd, reinterpret_cast<sockaddr*>(&a), sizeof(a)) == 0 &&
         listen(fd, 1) == 0) {
       return base_port;
--- a/test/procs.h
+++ b/test/procs.h
@@ -1,6 +1,6 @@
 // Helpers for tests that run the real binary as separate processes on
-// 127.0.0.1: start a role, signal it, wait for a port, make one HTTP call.
-// Bounds in these helpers are counts and timeouts, not assertions.
+// 127.0.0.1: start a role, signal it, wait for a port, make one HTTP call. The
+// helpers limit their waits by counts and timeouts and assert nothing.
 #ifndef MEDLARWALK_TEST_PROCS_H_
 #define MEDLARWALK_TEST_PROCS_H_
 
