--- a/src/bench.cc
+++ b/src/bench.cc
@@ -80,13 +80,13 @@
         placement_rng_(seed + 1),
         queue_(policy.waiting) {
     for (int i = 0; i < kUpstreams; ++i) {
-      UpstreamBoard b;
+      UpstreamState b;
       b.info.id = absl::StrCat("u", i);
       b.info.service = kService;
       b.info.slots = kSlots;
-      boards_.push_back(b);
+      upstreams_.push_back(b);
     }
-    RankUpstreams(absl::MakeSpan(boards_));
+    RankUpstreams(absl::MakeSpan(upstreams_));
   }
 
   void Run() {
@@ -96,13 +96,13 @@
       FinishDueRequests();
       auto started = std::chrono::steady_clock::now();
       GenerateArrivals();
-      for (uint64_t seq : queue_.Expired(clock_.Now())) {
-        queue_.Leave(seq);
+      for (uint64_t seq : queue_.ExpiredRequests(clock_.Now())) {
+        queue_.RemoveUnserved(seq);
         RecordRejection(seq);
       }
       // As in the gateway: once a request finds no slot, skip similar ones.
       std::set<std::pair<int, uint64_t>> without_slot;
-      for (uint64_t seq : queue_.InOrder(kService, clock_.Now())) {
+      for (uint64_t seq : queue_.ServingOrder(kService, clock_.Now())) {
         std::pair<int, uint64_t> similar(trace_[seq].klass,
                                          trace_[seq].prompt_prefix);
         if (without_slot.count(similar)) continue;
@@ -110,8 +110,8 @@
           without_slot.insert(similar);
           continue;
         }
-        queue_.Served(seq, clock_.Now());
-        queue_.NotePlace(kService, clock_.Now());
+        queue_.RemoveServed(seq, clock_.Now());
+        queue_.RecordDispatch(kService, clock_.Now());
       }
       decision_ns_ += std::chrono::duration<double, std::nano>(
                           std::chrono::steady_clock::now() - started)
@@ -133,9 +133,9 @@
         ++it;
         continue;
       }
-      UpstreamBoard& u = boards_[it->upstream];
+      UpstreamState& u = upstreams_[it->upstream];
       --u.in_flight;
-      NoteSuccess(u, clock_.Now());
+      RecordSuccess(u, clock_.Now());
       it = running_.erase(it);
     }
   }
@@ -157,17 +157,17 @@
   void EnterRequest(uint64_t seq) {
     const Arrival& a = trace_[seq];
     if (TrySend(seq)) {
-      queue_.NotePlace(kService, clock_.Now());
+      queue_.RecordDispatch(kService, clock_.Now());
       return;
     }
     WaitingRequest w;
     w.seq = seq;
     w.tier = kClasses[a.klass].tier;
-    w.since = a.at;
-    w.until = a.at + kClasses[a.klass].target;
+    w.enqueued_at = a.at;
+    w.reject_at = a.at + kClasses[a.klass].target;
     w.service = kService;
     std::optional<uint64_t> shed;
-    absl::Status s = queue_.Enter(std::move(w), &shed);
+    absl::Status s = queue_.Enqueue(std::move(w), &shed);
     if (shed) {
       top_shed += trace_[*shed].klass == 0;
       RecordRejection(*shed);
@@ -179,26 +179,28 @@
     const Arrival& a = trace_[seq];
     const TraceClass& c = kClasses[a.klass];
     TimePoint now = clock_.Now();
-    PlacementAsk placement_request;
+    PlacementRequest placement_request;
     placement_request.service = kService;
     placement_request.affinity = a.prompt_prefix;
     placement_request.shared_tokens = c.prompt / 2;
-    placement_request.shape = ShapeOf(c.prompt, c.output, policy_.placement);
+    placement_request.shape =
+        ClassifyWork(c.prompt, c.output, policy_.placement);
     DecodeDemand demand;
-    demand.in_flight =
-        DecodeLoad(boards_, kService, decode_engines_, now, policy_.placement);
-    decode_engines_ = DecodeEngines(demand, decode_engines_, kSlots, kUpstreams,
-                                    policy_.placement);
+    demand.generations_in_flight = DecodeLoad(
+        upstreams_, kService, decode_engines_, now, policy_.placement);
+    decode_engines_ = ComputeDecodeEngines(demand, decode_engines_, kSlots,
+                                           kUpstreams, policy_.placement);
     placement_request.decode_engines = decode_engines_;
     std::uniform_real_distribution<double> draw(0, 1);
-    std::optional<size_t> i = Place(boards_, placement_request, now,
-                                    draw(placement_rng_), policy_.placement);
+    std::optional<size_t> i =
+        ChooseUpstream(upstreams_, placement_request, now, draw(placement_rng_),
+                       policy_.placement);
     if (!i) return false;
-    UpstreamBoard& u = boards_[*i];
+    UpstreamState& u = upstreams_[*i];
     // Each request takes longer in a larger batch.
     auto work = c.work + c.work * u.in_flight / kSlots;
     ++u.in_flight;
-    NotePrefill(u, static_cast<double>(c.prompt), now, policy_.placement);
+    RecordPrefillSent(u, static_cast<double>(c.prompt), now, policy_.placement);
     running_.push_back({*i, now + work, a.klass});
     ++served[a.klass];
     if (a.klass == kClassCount - 1) {
@@ -218,8 +220,8 @@
   ManualClock clock_;
   std::mt19937_64 arrival_rng_;
   std::mt19937_64 placement_rng_;
-  WaitingRoom queue_;
-  std::vector<UpstreamBoard> boards_;
+  WaitingQueue queue_;
+  std::vector<UpstreamState> upstreams_;
   int decode_engines_ = 0;
   std::vector<Arrival> trace_;
   std::vector<Running> running_;
@@ -233,8 +235,8 @@
   BenchReport r;
   r.requests = requests;
   Policy tiered_policy;
-  tiered_policy.waiting.most_waiting = kMaxWaiting;
-  tiered_policy.waiting.refuse_unmeetable = true;
+  tiered_policy.waiting.max_waiting = kMaxWaiting;
+  tiered_policy.waiting.reject_unmeetable = true;
   tiered_policy.waiting.starvation_bound = std::chrono::seconds(4);
   TracePass tiered_pass(requests, seed, tiered_policy);
   tiered_pass.Run();
@@ -245,9 +247,9 @@
   r.max_lowest_wait_s = tiered_pass.longest_low_wait_s;
   r.ns_per_request = tiered_pass.ns_per_request();
   Policy naive_policy;
-  naive_policy.waiting.most_waiting = kMaxWaiting;
-  naive_policy.waiting.tiered = false;
-  naive_policy.placement.blind = true;
+  naive_policy.waiting.max_waiting = kMaxWaiting;
+  naive_policy.waiting.tier_order = false;
+  naive_policy.placement.first_available = true;
   TracePass naive_pass(requests, seed, naive_policy);
   naive_pass.Run();
   r.naive_top_tier_refused = naive_pass.rejected[0];
--- a/src/control.h
+++ b/src/control.h
@@ -171,7 +171,8 @@
   // snapshot.
   std::set<std::string> load_in_flight_;
   LinkPool links_;
-  NewestGate forwarded_changes_;  // Configurations forwarded to the leader.
+  // Configurations forwarded to the leader.
+  ConflatingSender forwarded_changes_;
   Lister lister_;
   Quarantine quarantine_;
   LimitBook limits_;
--- a/src/control_calls.cc
+++ b/src/control_calls.cc
@@ -99,7 +99,7 @@
         [done] { done(absl::UnavailableError("no leader")); });
     return;
   }
-  forwarded_changes_.Offer(version, std::move(document), std::move(done));
+  forwarded_changes_.SendOrHold(version, std::move(document), std::move(done));
 }
 
 void Control::ForwardToLeader(Document document, SubmitDone done) {
--- a/src/control_watch.cc
+++ b/src/control_watch.cc
@@ -127,7 +127,7 @@
     w.control = std::move(endpoints);
   if (list_history_.version() != 0 &&
       list_history_.version() != r.list_version) {
-    w.list = list_history_.EncodedSince(r.list_version);
+    w.list = list_history_.EncodedChangeSince(r.list_version);
   }
   if (list_read_at_ != TimePoint{}) w.list_age_ms = ToMs(now - list_read_at_);
   w.list_interval_ms = ToMs(list_interval_);
@@ -218,7 +218,8 @@
       reply.config = nullptr;
     }
     if (reply.list) {
-      bool version_known = list_history_.Knows(w.request.list_version);
+      bool version_known =
+          list_history_.HasChangesSince(w.request.list_version);
       metrics_.CountListTold(version_known ? "difference" : "whole",
                              reply.list->size());
     }
--- a/src/control_wire.cc
+++ b/src/control_wire.cc
@@ -19,8 +19,8 @@
 constexpr Millis kMaxAge = std::chrono::hours(24);
 
 json ToJson(const UpstreamInfo& u) {
-  return {u.id,          u.service, u.address.ip, u.address.port,
-          u.data_centre, u.leaving, u.slots,      u.born};
+  return {u.id,          u.service,  u.address.ip, u.address.port,
+          u.data_centre, u.draining, u.slots,      u.started_unix_ms};
 }
 
 UpstreamInfo UpstreamFromJson(const json& j) {
@@ -30,9 +30,9 @@
   u.address.ip = j.at(2).get<std::string>();
   u.address.port = WholeNumber<int>(j.at(3));
   u.data_centre = j.at(4).get<std::string>();
-  u.leaving = j.at(5).get<bool>();
+  u.draining = j.at(5).get<bool>();
   u.slots = WholeNumber<int>(j.at(6));
-  u.born = WholeNumber<int64_t>(j.at(7));
+  u.started_unix_ms = WholeNumber<int64_t>(j.at(7));
   return u;
 }
 
@@ -299,8 +299,10 @@
 Document EncodeListChange(const ListChange& c) {
   json changed = json::array();
   for (const UpstreamInfo& u : c.changed) changed.push_back(ToJson(u));
-  return Pack(ToCbor(
-      {{"f", c.from}, {"t", c.to}, {"u", std::move(changed)}, {"g", c.gone}}));
+  return Pack(ToCbor({{"f", c.from},
+                      {"t", c.to},
+                      {"u", std::move(changed)},
+                      {"g", c.removed_ids}}));
 }
 
 absl::StatusOr<ListChange> DecodeListChange(absl::string_view bytes) {
@@ -311,7 +313,7 @@
     c.from = WholeNumber<int64_t>(j.at("f"));
     c.to = WholeNumber<int64_t>(j.at("t"));
     for (const json& u : j.at("u")) c.changed.push_back(UpstreamFromJson(u));
-    c.gone = j.at("g").get<std::vector<std::string>>();
+    c.removed_ids = j.at("g").get<std::vector<std::string>>();
     return c;
   });
 }
--- a/src/crash_watch.cc
+++ b/src/crash_watch.cc
@@ -17,10 +17,10 @@
 
 void CrashWatch::RecordInterruptedCall(const std::string& upstream,
                                        const InterruptedCall& call) {
-  const UpstreamBoard* u = pool_.Find(upstream);
+  const UpstreamState* u = pool_.Find(upstream);
   // A draining upstream may terminate with requests in flight that are not the
   // cause.
-  if (!u || u->info.leaving) return;
+  if (!u || u->info.draining) return;
   suspects_[upstream].calls.push_back(call);
 }
 
@@ -38,7 +38,7 @@
 void CrashWatch::OnListUpdate() {
   std::vector<std::string> unlisted;
   for (const auto& [upstream, s] : suspects_) {
-    const UpstreamBoard* u = pool_.Find(upstream);
+    const UpstreamState* u = pool_.Find(upstream);
     if (!u || !u->listed) unlisted.push_back(upstream);
   }
   for (const std::string& id : unlisted) RecordTermination(id, "unlisted");
@@ -48,7 +48,7 @@
   std::vector<std::string> refused;
   for (auto it = suspects_.begin(); it != suspects_.end();) {
     Suspect& s = it->second;
-    const UpstreamBoard* u = pool_.Find(it->first);
+    const UpstreamState* u = pool_.Find(it->first);
     // The pool notices by the second tick that its idle connections closed
     // together with the interrupted one, so the probe starts then.
     if (u && !s.probe && s.seen_by_tick) {
--- a/src/entry.cc
+++ b/src/entry.cc
@@ -23,8 +23,8 @@
 // A service with fewer engines than this does not divide them by shape of work.
 // Deployments of this API have too few engines per model for it.
 constexpr int kMinEnginesToSplit = 6;
-// An engine is a straggler when its inter-token gap is this many times the gap
-// of the median engine.
+// An engine is a straggler when its event gap is this many times the gap of the
+// median engine.
 constexpr double kStragglerFactor = 2.0;
 // Share of the requests in flight to one upstream that is reserved for the top
 // tier (at least one request). Without it, requests of the top tier may find
@@ -36,28 +36,28 @@
                                    EntryPolicyKind policy) {
   GatewayOptions o;
   o.data_centre = host.data_centre;
-  // The division by kBudgetUse gives this entry the whole configured retry
-  // budget: it shares its allowance with no other process.
-  o.retry.ratio = s.entry.retry_budget_percent / 100.0 / kBudgetUse;
-  o.retry.slack = kBaseRetriesPerWindow / kBudgetUse;
+  // The division by kUsableAllowanceShare gives this entry the whole configured
+  // retry budget: it shares its allowance with no other process.
+  o.retry.ratio = s.entry.retry_budget_percent / 100.0 / kUsableAllowanceShare;
+  o.retry.slack = kBaseRetriesPerWindow / kUsableAllowanceShare;
   o.connection_share = 1.0;
-  o.placement.split_from = kMinEnginesToSplit;
+  o.placement.min_engines_to_split = kMinEnginesToSplit;
   // The settings already limit the requests that an entry sends to an engine.
   o.placement.own_generations_share = 0;
-  o.placement.most_plain_load = 1.0;
+  o.placement.max_plain_load = 1.0;
   o.placement.straggler_factor = kStragglerFactor;
-  o.placement.reserved_share = kReservedTopTierShare;
-  o.waiting.most_target_share = 1.0;
-  o.waiting.most_waiting = static_cast<size_t>(s.entry.queue_limit);
-  o.waiting.refuse_unmeetable = true;
+  o.placement.reserved_top_tier_share = kReservedTopTierShare;
+  o.waiting.max_wait_target_share = 1.0;
+  o.waiting.max_waiting = static_cast<size_t>(s.entry.queue_limit);
+  o.waiting.reject_unmeetable = true;
   o.waiting.starvation_bound = s.entry.starvation_bound;
   if (policy == EntryPolicyKind::kNaive) {
-    o.placement.reserved_share = 0;
-    o.placement.blind = true;
-    o.reading.start = o.reading.least = kNoLimit;
-    o.waiting.tiered = false;
-    o.waiting.most_target_share = kNoLimit;
-    o.waiting.refuse_unmeetable = false;
+    o.placement.reserved_top_tier_share = 0;
+    o.placement.first_available = true;
+    o.prefill_limiter.initial_limit = o.prefill_limiter.min_limit = kNoLimit;
+    o.waiting.tier_order = false;
+    o.waiting.max_wait_target_share = kNoLimit;
+    o.waiting.reject_unmeetable = false;
     o.waiting.starvation_bound = {};
   }
   return o;
@@ -187,11 +187,11 @@
     LogWarn("bad_load_report", {{"upstream", upstream}});
     return;
   }
-  gateway_.NoteLoad(upstream, j.value("running", 0), j.value("waiting", 0));
+  gateway_.OnLoadReport(upstream, j.value("running", 0), j.value("waiting", 0));
   bool draining = j.value("leaving", false);
   for (UpstreamInfo& u : upstreams_) {
-    if (u.id != upstream || u.leaving == draining) continue;
-    u.leaving = draining;
+    if (u.id != upstream || u.draining == draining) continue;
+    u.draining = draining;
     gateway_.SetUpstreams(upstreams_);
   }
 }
--- a/src/gateway.cc
+++ b/src/gateway.cc
@@ -46,8 +46,8 @@
                  const std::vector<CrashWatch::InterruptedCall>& calls) {
             OnUpstreamCrash(upstream, how, calls);
           }),
-      prefix_holders_(kPrefixHolderTrust, kMaxRememberedParts),
-      wait_queue_(options_.waiting),
+      prefix_cache_index_(kPrefixHolderTrust, kMaxRememberedParts),
+      waiting_queue_(options_.waiting),
       entry_count_(kAssumedEntryCount),
       send_slot_share_{kAssumedEntryCount, 0} {}
 
@@ -74,22 +74,23 @@
 
 void Gateway::SetUpstreams(absl::Span<const UpstreamInfo> upstreams) {
   for (const std::string& id : pool_.Update(upstreams)) {
-    prefix_holders_.Forget(id);
+    prefix_cache_index_.RemoveEngine(id);
     limits_.Note(id, std::nullopt, clock_.Now());
   }
   crash_watch_.OnListUpdate();
-  ApplyLimitsToBoards();
+  ApplyLimitsToUpstreams();
   decode_paces_changed_ = true;
   DispatchWaiting();
 }
 
-void Gateway::NoteLoad(const std::string& upstream, int running, int waiting) {
-  UpstreamBoard* u = pool_.Find(upstream);
-  if (u) NoteReport(*u, running, waiting, clock_.Now());
+void Gateway::OnLoadReport(const std::string& upstream, int running,
+                           int waiting) {
+  UpstreamState* u = pool_.Find(upstream);
+  if (u) RecordLoadReport(*u, running, waiting, clock_.Now());
 }
 
 void Gateway::SetReachable(const std::string& upstream, bool reachable) {
-  UpstreamBoard* u = pool_.Find(upstream);
+  UpstreamState* u = pool_.Find(upstream);
   if (!u || u->reachable == reachable) return;
   u->reachable = reachable;
   LogEvent("upstream_reachable",
@@ -100,12 +101,14 @@
   return retry_budgets_.try_emplace(service, clock_.Now()).first->second;
 }
 
-ReadingGate& Gateway::PrefillLimiterFor(const std::string& service) {
-  return prefill_limiters_.try_emplace(service, options_.reading).first->second;
+PrefillLimiter& Gateway::PrefillLimiterFor(const std::string& service) {
+  return prefill_limiters_.try_emplace(service, options_.prefill_limiter)
+      .first->second;
 }
 
-TierGuard& Gateway::TierGuardFor(const std::string& service) {
-  return tier_guards_.try_emplace(service, options_.tiers).first->second;
+TierAdmission& Gateway::TierAdmissionFor(const std::string& service) {
+  return tier_admissions_.try_emplace(service, options_.tier_admission)
+      .first->second;
 }
 
 std::string Gateway::MetricLabel(const Request& r) {
@@ -149,7 +152,7 @@
     FailRequest(r, KindOf(s), s.message());
     return;
   }
-  RetryBudgetFor(r.service->name).NoteRequest(options_.retry);
+  RetryBudgetFor(r.service->name).RecordFirstAttempt(options_.retry);
   Dispatch(r);
 }
 
@@ -200,7 +203,7 @@
     int64_t output = r.facts.likely_output_tokens > 0
                          ? r.facts.likely_output_tokens
                          : r.facts.most_output_tokens;
-    r.shape = ShapeOf(r.facts.prompt_tokens, output, options_.placement);
+    r.shape = ClassifyWork(r.facts.prompt_tokens, output, options_.placement);
   }
   if (quarantine_.Refuses(r.fingerprint)) {
     return MakeError(ErrorKind::kQuarantined, "crashes upstreams");
@@ -221,21 +224,21 @@
 
 void Gateway::Dispatch(Request& r) {
   if (TrySend(r)) {
-    wait_queue_.NotePlace(r.service->name, clock_.Now());
+    waiting_queue_.RecordDispatch(r.service->name, clock_.Now());
     return;
   }
   WaitingRequest w;
   w.seq = r.seq;
   w.tier = r.rank;
-  w.since = clock_.Now();
-  w.until =
-      std::min(r.deadline, w.since + std::chrono::duration_cast<Duration>(
-                                         r.route->latency_target *
-                                         options_.waiting.most_target_share));
+  w.enqueued_at = clock_.Now();
+  w.reject_at = std::min(
+      r.deadline, w.enqueued_at + std::chrono::duration_cast<Duration>(
+                                      r.route->latency_target *
+                                      options_.waiting.max_wait_target_share));
   w.service = r.service->name;
   r.starving_from = StarvesAt(w, options_.waiting);
   std::optional<uint64_t> shed;
-  absl::Status entered = wait_queue_.Enter(std::move(w), &shed);
+  absl::Status entered = waiting_queue_.Enqueue(std::move(w), &shed);
   r.waiting = entered.ok();
   if (shed) {
     Request* other = requests_.at(*shed).get();
@@ -245,29 +248,29 @@
   if (!r.waiting) FailRequest(r, KindOf(entered), entered.message());
 }
 
-PlacementAsk Gateway::PlacementInputFor(const Request& r) const {
-  PlacementAsk input;
+PlacementRequest Gateway::PlacementRequestFor(const Request& r) const {
+  PlacementRequest input;
   input.service = r.service->name;
   input.affinity = r.affinity;
   input.shared_tokens = r.shared_tokens;
   input.data_centre = options_.data_centre;
-  input.avoid = r.tried;
+  input.tried_ids = r.tried;
   input.shape = r.shape;
   input.pinned = r.facts.pinned;
-  input.most_load = r.service->engine ? options_.placement.most_engine_load
-                                      : options_.placement.most_plain_load;
+  input.max_load = r.service->engine ? options_.placement.max_engine_load
+                                     : options_.placement.max_plain_load;
   return input;
 }
 
 bool Gateway::TrySend(Request& r) {
-  // The tier guard holds back first attempts only: a request that has begun
+  // Admission by tier holds back first attempts only: a request that has begun
   // continues even if more urgent requests wait.
   if (r.sends == 0 &&
-      !TierGuardFor(r.service->name).Admits(r.tier, clock_.Now())) {
+      !TierAdmissionFor(r.service->name).Admits(r.tier, clock_.Now())) {
     return false;
   }
   if (r.shape == WorkShape::kPrefill &&
-      !PrefillLimiterFor(r.service->name).open(r.tier)) {
+      !PrefillLimiterFor(r.service->name).MaySend(r.tier)) {
     return false;
   }
   int limit =
@@ -275,33 +278,34 @@
                                    options_.connection_share / entry_count_));
   bool starving = r.waiting && clock_.Now() >= r.starving_from;
   if (r.tier > 0 && !starving) {
-    limit -=
-        static_cast<int>(std::ceil(limit * options_.placement.reserved_share));
+    limit -= static_cast<int>(
+        std::ceil(limit * options_.placement.reserved_top_tier_share));
   }
   TimePoint now = clock_.Now();
-  for (UpstreamBoard& b : pool_.boards()) {
+  for (UpstreamState& b : pool_.upstreams()) {
     if (b.info.service != r.service->name) continue;
-    b.no_turn = b.limit_per_s && !HasSendSlot(b, now);
+    b.no_send_slot = b.limit_per_s && !HasSendSlot(b, now);
     // Each request of this process at an upstream holds one connection. With
     // fewer requests than the limit there is a free connection, so the scan of
     // the idle connections is skipped.
-    b.full = b.in_flight >= limit && pool_.AtConnectionLimit(b, limit);
-    if (r.shape != WorkShape::kDecode || b.full) continue;
-    b.full = !TakesGeneration(b, r.service->engine->slots, entry_count_, now,
-                              options_.placement);
+    b.at_own_limit = b.in_flight >= limit && pool_.AtConnectionLimit(b, limit);
+    if (r.shape != WorkShape::kDecode || b.at_own_limit) continue;
+    b.at_own_limit = !AcceptsGeneration(b, r.service->engine->slots,
+                                        entry_count_, now, options_.placement);
   }
-  PlacementAsk input = PlacementInputFor(r);
+  PlacementRequest input = PlacementRequestFor(r);
   if (r.service->engine) {
     int& engine_count = decode_engines_[r.service->name];
-    engine_count = DecodeEngines(
+    engine_count = ComputeDecodeEngines(
         decode_demand_[r.service->name], engine_count, r.service->engine->slots,
-        RankedUpstreams(pool_.boards(), r.service->name), options_.placement);
+        CountRankedUpstreams(pool_.upstreams(), r.service->name),
+        options_.placement);
     input.decode_engines = engine_count;
   }
   r.decode_engines = input.decode_engines;
   std::uniform_real_distribution<double> draw(0, 1);
-  std::optional<size_t> i =
-      Place(pool_.boards(), input, now, draw(random_), options_.placement);
+  std::optional<size_t> i = ChooseUpstream(pool_.upstreams(), input, now,
+                                           draw(random_), options_.placement);
   if (!i) return false;
   SendToUpstream(r, *i);
   return true;
@@ -309,9 +313,10 @@
 
 void Gateway::SendToUpstream(Request& r, size_t upstream) {
   TimePoint now = clock_.Now();
-  UpstreamBoard& u = pool_.boards()[upstream];
+  UpstreamState& u = pool_.upstreams()[upstream];
   ++r.attempt;
-  if (++r.sends == 1) TierGuardFor(r.service->name).NotePlace(r.tier, now);
+  if (++r.sends == 1)
+    TierAdmissionFor(r.service->name).RecordDispatch(r.tier, now);
   r.upstream = u.info.id;
   r.tried.push_back(u.info.id);
   r.sent_at = r.progress_at = now;
@@ -319,14 +324,14 @@
   r.relaying = false;
   r.held_body.clear();
   r.splitter.Reset();
-  if (u.in_flight == 0) u.quiet_since = now;
+  if (u.in_flight == 0) u.last_activity_at = now;
   ++u.in_flight;
   if (u.limit_per_s) UseSendSlot(u, now);
   r.prefill_pending = r.shape == WorkShape::kPrefill;
-  u.reading += r.prefill_pending;
-  if (r.prefill_pending) PrefillLimiterFor(r.service->name).Sent(r.tier);
-  NotePrefill(u, static_cast<double>(r.facts.prompt_tokens), now,
-              options_.placement);
+  u.prefills_in_flight += r.prefill_pending;
+  if (r.prefill_pending) PrefillLimiterFor(r.service->name).RecordSent(r.tier);
+  RecordPrefillSent(u, static_cast<double>(r.facts.prompt_tokens), now,
+                    options_.placement);
   ForwardFacts f;
   f.id = r.facts.id;
   f.upstream_id = u.info.id;
@@ -342,7 +347,7 @@
             {"asks", PrintName(r.fingerprint)},
             {"upstream", u.info.id},
             {"attempt", r.sends + static_cast<int>(r.connect_failures)},
-            {"load", u.reported},
+            {"load", u.reported_load},
             {"load_age_ms",
              u.reported_at == TimePoint{} ? -1 : ToMs(now - u.reported_at)},
             {"own", u.in_flight},
@@ -373,18 +378,19 @@
 // another preferred engine of these parts, because every entry process sends
 // requests with them there. Third is an engine at which this process saw a
 // prefill of the first parts.
-Endpoint Gateway::FindCopySource(const Request& r, const UpstreamBoard& to,
+Endpoint Gateway::FindCopySource(const Request& r, const UpstreamState& to,
                                  TimePoint now) {
   if (r.facts.parts.size() < 2) return {};
-  PartMemory::Holding holder = prefix_holders_.Holder(r.facts.parts, now);
-  const UpstreamBoard* source = nullptr;
-  if (holder.parts + 1 < r.facts.parts.size()) {
+  PrefixCacheIndex::PrefixMatch match =
+      prefix_cache_index_.FindLongestPrefix(r.facts.parts, now);
+  const UpstreamState* source = nullptr;
+  if (match.parts + 1 < r.facts.parts.size()) {
     std::optional<size_t> preferred =
-        FirstHome(pool_.boards(), r.service->name, r.affinity, r.decode_engines,
-                  to.info.id, now, options_.placement);
-    if (preferred) source = &pool_.boards()[*preferred];
+        PreferredEngine(pool_.upstreams(), r.service->name, r.affinity,
+                        r.decode_engines, to.info.id, now, options_.placement);
+    if (preferred) source = &pool_.upstreams()[*preferred];
   }
-  if (!source && !holder.engine.empty()) source = pool_.Find(holder.engine);
+  if (!source && !match.engine.empty()) source = pool_.Find(match.engine);
   if (!source || source->info.id == to.info.id ||
       source->info.service != to.info.service ||
       !Usable(*source, now, options_.placement)) {
@@ -397,12 +403,13 @@
 // its call has ended.
 void Gateway::ReleaseUpstream(Request& r) {
   if (r.upstream.empty()) return;
-  if (UpstreamBoard* u = pool_.Find(r.upstream)) {
+  if (UpstreamState* u = pool_.Find(r.upstream)) {
     --u->in_flight;
-    u->reading -= r.prefill_pending;
-    if (u->in_flight == 0) u->quiet_since = {};
+    u->prefills_in_flight -= r.prefill_pending;
+    if (u->in_flight == 0) u->last_activity_at = {};
   }
-  if (r.prefill_pending) PrefillLimiterFor(r.service->name).Ended(r.tier);
+  if (r.prefill_pending)
+    PrefillLimiterFor(r.service->name).RecordPrefillEnd(r.tier);
   r.prefill_pending = false;
   pool_.ReleaseLink(r.upstream, r.connection);
   r.connection.reset();
@@ -420,7 +427,7 @@
                             absl::string_view why) {
   TimePoint now = clock_.Now();
   CancelAttempt(r);
-  if (r.waiting) wait_queue_.Leave(r.seq);
+  if (r.waiting) waiting_queue_.RemoveUnserved(r.seq);
   Duration elapsed = now - r.exchange->arrived;
   LogEvent(
       "request_ended",
--- a/src/gateway.h
+++ b/src/gateway.h
@@ -41,8 +41,8 @@
   RetryAllowance retry;
   PlacementPolicy placement;
   WaitingPolicy waiting;
-  ReadingGatePolicy reading;
-  TierGuardPolicy tiers;
+  PrefillLimiterPolicy prefill_limiter;
+  TierAdmissionPolicy tier_admission;
   // Share of an upstream's connections that the known entry processes use
   // together. The remainder is for entry processes that have just started or
   // that are no longer counted but still running.
@@ -89,7 +89,7 @@
   // Merges rate limits published by control.
   void MergeLimits(absl::Span<const LimitRecord> records);
   // Records a load report that did not come with an answer.
-  void NoteLoad(const std::string& upstream, int running, int waiting);
+  void OnLoadReport(const std::string& upstream, int running, int waiting);
   // Records whether the upstream is reachable, according to a source other than
   // its answers.
   void SetReachable(const std::string& upstream, bool reachable);
@@ -117,27 +117,27 @@
   bool ConfigMayBeOutdated(const absl::Status& rejection) const;
   absl::Status Admit(Request& r);
   void Dispatch(Request& r);
-  PlacementAsk PlacementInputFor(const Request& r) const;
+  PlacementRequest PlacementRequestFor(const Request& r) const;
   bool TrySend(Request& r);
   void SendToUpstream(Request& r, size_t upstream);
   bool OnAnswerHead(Request& r, const MessageHead& head);
   void OnAnswerBody(Request& r, absl::string_view data);
   void OnCallEnd(Request& r, CallEnd end, absl::string_view why);
-  void RecordAnnouncedLimit(const Request& r, const UpstreamBoard& u,
+  void RecordAnnouncedLimit(const Request& r, const UpstreamState& u,
                             const AnswerFacts& f);
-  void RecordBackoff(const Request& r, UpstreamBoard& u, Duration backoff);
-  void ApplyLimitsToBoards();
+  void RecordBackoff(const Request& r, UpstreamState& u, Duration backoff);
+  void ApplyLimitsToUpstreams();
   void ExpireLimits(TimePoint now);
-  TurnAsk SendSlotQueryFor(const UpstreamBoard& u, TimePoint now) const;
-  bool HasSendSlot(const UpstreamBoard& u, TimePoint now) const;
-  void UseSendSlot(UpstreamBoard& u, TimePoint now);
+  TurnAsk SendSlotQueryFor(const UpstreamState& u, TimePoint now) const;
+  bool HasSendSlot(const UpstreamState& u, TimePoint now) const;
+  void UseSendSlot(UpstreamState& u, TimePoint now);
   void CountAccountRun(Request& r);
   void OnPrefillDone(Request& r, TimePoint now);
   bool RelayEvent(Request& r, absl::string_view event);
-  void RecordEventGap(Request& r, TimePoint now);
-  void RecordDecodePace(Request& r, TimePoint now);
+  void ObserveEventGap(Request& r, TimePoint now);
+  void ObserveDecodePace(Request& r, TimePoint now);
   void RespondWithHeldAnswer(Request& r);
-  Endpoint FindCopySource(const Request& r, const UpstreamBoard& to,
+  Endpoint FindCopySource(const Request& r, const UpstreamState& to,
                           TimePoint now);
   // Retries the request at another upstream after a failed attempt, or gives it
   // its final answer.
@@ -163,8 +163,8 @@
   void UpdateDecodeDemand(TimePoint now);
   void UpdateWaitingMetrics();
   Duration ComputeRetryAfter(const Request& r, ErrorKind kind);
-  ReadingGate& PrefillLimiterFor(const std::string& service);
-  TierGuard& TierGuardFor(const std::string& service);
+  PrefillLimiter& PrefillLimiterFor(const std::string& service);
+  TierAdmission& TierAdmissionFor(const std::string& service);
   // Logs why no upstream could take the waiting request `r`.
   void LogPlacementFailure(const Request& r, TimePoint now);
   RetryBudget& RetryBudgetFor(const std::string& service);
@@ -181,8 +181,8 @@
   LimitBook limits_;
   uint64_t limit_changes_applied_ = 0;
   uint64_t quarantine_changes_seen_ = 0;
-  PartMemory prefix_holders_;
-  WaitingRoom wait_queue_;
+  PrefixCacheIndex prefix_cache_index_;
+  WaitingQueue waiting_queue_;
   int entry_count_;
   // Entry count and index that determine the send slots of this process, and
   // when the count was last set. A lower count is adopted only after a delay:
@@ -203,8 +203,8 @@
   std::map<std::string, DecodeDemand> decode_demand_;
   // Number of engines kept for long generations, by service.
   std::map<std::string, int> decode_engines_;
-  std::map<std::string, ReadingGate> prefill_limiters_;  // By service.
-  std::map<std::string, TierGuard> tier_guards_;         // By service.
+  std::map<std::string, PrefillLimiter> prefill_limiters_;  // By service.
+  std::map<std::string, TierAdmission> tier_admissions_;    // By service.
   // Number of waiting requests as last set in the metrics, by metric label.
   std::map<std::string, int> reported_waiting_;
   TimePoint demand_updated_at_{};
--- a/src/gateway_answer.cc
+++ b/src/gateway_answer.cc
@@ -30,9 +30,9 @@
     return false;
   }
   r.progress_at = now;
-  if (UpstreamBoard* u = pool_.Find(r.upstream)) {
-    u->quiet_since = now;
-    if (f.has_load) NoteReport(*u, f.running, f.waiting, now);
+  if (UpstreamState* u = pool_.Find(r.upstream)) {
+    u->last_activity_at = now;
+    if (f.has_load) RecordLoadReport(*u, f.running, f.waiting, now);
     RecordAnnouncedLimit(r, *u, f);
     if (!f.other_upstream) RecordBackoff(r, *u, f.rest);
     if (!f.other_upstream && f.leaving && pool_.RecordDraining(r.upstream)) {
@@ -64,7 +64,7 @@
 void Gateway::OnAnswerBody(Request& r, absl::string_view data) {
   TimePoint now = clock_.Now();
   r.progress_at = now;
-  if (UpstreamBoard* u = pool_.Find(r.upstream)) u->quiet_since = now;
+  if (UpstreamState* u = pool_.Find(r.upstream)) u->last_activity_at = now;
   if (r.prefill_pending) {
     OnPrefillDone(r, now);
     // Requests already waiting get the freed slot before requests that arrive
@@ -100,14 +100,14 @@
 // arrive.
 void Gateway::OnPrefillDone(Request& r, TimePoint now) {
   r.prefill_pending = false;
-  ReadingGate& limiter = PrefillLimiterFor(r.service->name);
-  limiter.Ended(r.tier);
+  PrefillLimiter& limiter = PrefillLimiterFor(r.service->name);
+  limiter.RecordPrefillEnd(r.tier);
   Duration elapsed = now - r.sent_at;
-  limiter.NoteFirstEvent(elapsed, r.route->latency_target);
-  UpstreamBoard* u = pool_.Find(r.upstream);
+  limiter.RecordFirstEvent(elapsed, r.route->latency_target);
+  UpstreamState* u = pool_.Find(r.upstream);
   if (!u) return;
-  --u->reading;
-  NoteFirstEvent(*u, elapsed, r.route->latency_target, options_.placement);
+  --u->prefills_in_flight;
+  RecordFirstEvent(*u, elapsed, r.route->latency_target, options_.placement);
 }
 
 // Relays one event to the caller. Returns false if the event does not follow
@@ -120,7 +120,8 @@
     if (*id != *r.last_event + 1) return false;
   }
   if (r.service->engine && r.events == 0) {
-    prefix_holders_.Note(r.facts.parts, r.upstream, clock_.Now());
+    prefix_cache_index_.RecordPrefilled(r.facts.parts, r.upstream,
+                                        clock_.Now());
   }
   if (r.service->engine) CountAccountRun(r);
   if (!r.stream_started) {
@@ -132,8 +133,8 @@
         MetricLabel(r), ToSeconds(r.first_event_at - r.exchange->arrived));
   }
   TimePoint now = clock_.Now();
-  if (r.events > 0) RecordEventGap(r, now);
-  if (r.shape == WorkShape::kDecode) RecordDecodePace(r, now);
+  if (r.events > 0) ObserveEventGap(r, now);
+  if (r.shape == WorkShape::kDecode) ObserveDecodePace(r, now);
   r.last_event_at = now;
   r.exchange->Write(event);
   if (id) r.last_event = id;
@@ -142,24 +143,25 @@
 }
 
 // Records the gap between the previous event and the current one.
-void Gateway::RecordEventGap(Request& r, TimePoint now) {
+void Gateway::ObserveEventGap(Request& r, TimePoint now) {
   Duration gap = now - r.last_event_at;
   if (gap > r.longest_gap) {
     r.longest_gap = gap;
     r.longest_gap_upstream = r.upstream;
   }
   bool same_upstream = r.last_event_at > r.sent_at;
-  if (UpstreamBoard* u = pool_.Find(r.upstream); u && same_upstream) {
-    NoteEventGap(*u, gap);
+  if (UpstreamState* u = pool_.Find(r.upstream); u && same_upstream) {
+    RecordEventGap(*u, gap);
   }
   if (r.shape != WorkShape::kDecode || !same_upstream) return;
-  NotePause(ToSeconds(gap) / ToSeconds(r.route->pause_target), now,
-            options_.placement, &decode_demand_[r.service->name]);
+  RecordEventGapShare(ToSeconds(gap) / ToSeconds(r.route->event_gap_target),
+                      now, options_.placement,
+                      &decode_demand_[r.service->name]);
 }
 
 // Records the decode pace as a mean over a few consecutive events. Single gaps
 // are no measure, because the network delays events unevenly.
-void Gateway::RecordDecodePace(Request& r, TimePoint now) {
+void Gateway::ObserveDecodePace(Request& r, TimePoint now) {
   constexpr int kPaceWindowEvents = 8;
   if (r.pace_window_start < r.sent_at) {
     r.pace_window_start = now;
@@ -167,8 +169,8 @@
     return;
   }
   if (++r.pace_window_events < kPaceWindowEvents) return;
-  if (UpstreamBoard* u = pool_.Find(r.upstream)) {
-    NotePace(*u, (now - r.pace_window_start) / kPaceWindowEvents);
+  if (UpstreamState* u = pool_.Find(r.upstream)) {
+    RecordDecodePace(*u, (now - r.pace_window_start) / kPaceWindowEvents);
     decode_paces_changed_ = true;
   }
   r.pace_window_start = now;
@@ -182,7 +184,7 @@
     return;
   }
   r.end_detected_by = std::string(why);
-  UpstreamBoard* u = pool_.Find(r.upstream);
+  UpstreamState* u = pool_.Find(r.upstream);
   bool success = r.answer.status / 100 == 2;
   if (success && !r.answer_facts.signed_whole) {
     HandleFailedAttempt(r, CallEnd::kNoAnswer, "success without signature");
@@ -199,7 +201,7 @@
     HandleFailedAttempt(r, CallEnd::kBrokenOff, "ends inside an event");
     return;
   }
-  if (u) NoteSuccess(*u, now);
+  if (u) RecordSuccess(*u, now);
   if (success) quarantine_.NoteServed(r.fingerprint);
   last_answered_at_[r.service->name] = now;
   ReleaseUpstream(r);
--- a/src/gateway_failure.cc
+++ b/src/gateway_failure.cc
@@ -53,7 +53,8 @@
   // A quarantined request would crash the next upstream too.
   if (quarantine_.Refuses(r.fingerprint)) return false;
   // Waiting for a slot helps only if some upstream has not been tried.
-  bool upstream_left = AnyLeft(pool_.boards(), PlacementInputFor(r));
+  bool upstream_left =
+      HasUntriedUpstream(pool_.upstreams(), PlacementRequestFor(r));
   if (end == CallEnd::kNotSent) {
     // Nothing reached the upstream, so the failure costs neither an attempt nor
     // retry budget.
@@ -64,7 +65,7 @@
   if (!not_run && !r.repeatable()) return false;
   if (r.sends >= r.route->max_attempts || !upstream_left) return false;
   if (!RetryBudgetFor(r.service->name)
-           .Take(options_.retry, entry_count_, now)) {
+           .TryConsume(options_.retry, entry_count_, now)) {
     metrics_.CountRetry("budget_spent");
     return false;
   }
@@ -135,11 +136,11 @@
                                   absl::string_view why) {
   TimePoint now = clock_.Now();
   bool not_run = r.have_head && r.answer_facts.not_run;
-  if (UpstreamBoard* u = pool_.Find(r.upstream)) {
-    NoteFailure(*u, now, end != CallEnd::kWhole, options_.placement);
-    if (r.have_head && r.answer_facts.other_upstream && !u->ended) {
-      u->ended = true;
-      prefix_holders_.Forget(u->info.id);
+  if (UpstreamState* u = pool_.Find(r.upstream)) {
+    RecordFailure(*u, now, end != CallEnd::kWhole, options_.placement);
+    if (r.have_head && r.answer_facts.other_upstream && !u->terminated) {
+      u->terminated = true;
+      prefix_cache_index_.RemoveEngine(u->info.id);
       LogEvent("upstream_ended", {{"upstream", u->info.id}});
     }
   }
@@ -180,7 +181,7 @@
 
 Duration Gateway::ComputeRetryAfter(const Request& r, ErrorKind kind) {
   if (kind == ErrorKind::kQuarantined) {
-    return quarantine_.RefusedFor(r.fingerprint, clock_.Now());
+    return quarantine_.RemainingQuarantine(r.fingerprint, clock_.Now());
   }
   // Other entry processes can serve the caller, so there is no need to wait.
   if (kind == ErrorKind::kDraining) return kDrainRetryAfter;
@@ -200,22 +201,23 @@
   // ends.
   Duration backoff{};
   if (r.service) {
-    backoff = RestLeft(pool_.boards(), r.service->name, clock_.Now());
+    backoff =
+        RemainingBackoff(pool_.upstreams(), r.service->name, clock_.Now());
   }
   if (backoff > Duration::zero()) seconds = kMinRetryAfterSeconds;
   return backoff + BoundedSeconds(seconds * spread(random_));
 }
 
-// Reports to the tier guard a request rejected for lack of capacity, unless no
-// upstream is usable. In an outage no request takes the slot of another, and
-// requests of less urgent tiers need not wait for the guard to forget the
-// rejections once the outage is over.
+// Records in the admission by tier that a request was rejected for lack of
+// capacity, unless no upstream is usable. In an outage no request takes the
+// slot of another, and requests of less urgent tiers need not wait until the
+// rejections have decayed once the outage is over.
 void Gateway::RecordCapacityRejection(const Request& r) {
   TimePoint now = clock_.Now();
-  NoPlaceCounts n = CountNoPlace(pool_.boards(), PlacementInputFor(r), now,
-                                 options_.placement);
+  AvailabilityCounts n = CountAvailability(
+      pool_.upstreams(), PlacementRequestFor(r), now, options_.placement);
   if (n.unusable == n.upstreams) return;
-  TierGuardFor(r.service->name).NoteTurnedAway(r.tier, now);
+  TierAdmissionFor(r.service->name).RecordRejection(r.tier, now);
 }
 
 // Sends the final answer of a request that gets none from an upstream.
--- a/src/gateway_limits.cc
+++ b/src/gateway_limits.cc
@@ -29,7 +29,7 @@
 // Records the rate limit that an answer announces, or the end of the limit if
 // the answer announces none. Only an answer with the upstream's signature ends
 // a limit: an answer damaged on its way may lack the limit header too.
-void Gateway::RecordAnnouncedLimit(const Request& r, const UpstreamBoard& u,
+void Gateway::RecordAnnouncedLimit(const Request& r, const UpstreamState& u,
                                    const AnswerFacts& f) {
   if (f.other_upstream || (!f.limit_per_s && !f.signed_whole)) return;
   if (f.limit_per_s) metrics_.CountLimitTold();
@@ -40,34 +40,35 @@
                               {"per_s", f.limit_per_s.value_or(-1)},
                               {"before", before.value_or(-1)},
                               {"own", u.in_flight}});
-  ApplyLimitsToBoards();
+  ApplyLimitsToUpstreams();
 }
 
-void Gateway::RecordBackoff(const Request& r, UpstreamBoard& u,
+void Gateway::RecordBackoff(const Request& r, UpstreamState& u,
                             Duration backoff) {
   if (backoff == Duration::zero()) return;
   TimePoint now = clock_.Now();
   metrics_.CountRest();
-  LogEvent("upstream_rest",
-           {{"upstream", u.info.id},
-            {"request", r.facts.id},
-            {"rest_ms", ToMs(backoff)},
-            {"left_ms", u.rest_until > now ? ToMs(u.rest_until - now) : 0},
-            {"load", u.reported},
-            {"own", u.in_flight}});
-  u.rest_until = std::max(u.rest_until, now + backoff);
+  LogEvent(
+      "upstream_rest",
+      {{"upstream", u.info.id},
+       {"request", r.facts.id},
+       {"rest_ms", ToMs(backoff)},
+       {"left_ms", u.backoff_until > now ? ToMs(u.backoff_until - now) : 0},
+       {"load", u.reported_load},
+       {"own", u.in_flight}});
+  u.backoff_until = std::max(u.backoff_until, now + backoff);
 }
 
 void Gateway::MergeLimits(absl::Span<const LimitRecord> records) {
   uint64_t before = limits_.changes();
   limits_.TakeTold(records);
-  if (limits_.changes() != before) ApplyLimitsToBoards();
+  if (limits_.changes() != before) ApplyLimitsToUpstreams();
 }
 
-// Copies the known limit of each upstream to its board.
-void Gateway::ApplyLimitsToBoards() {
+// Copies the known limit of each upstream to the state of that upstream.
+void Gateway::ApplyLimitsToUpstreams() {
   limit_changes_applied_ = limits_.changes();
-  for (UpstreamBoard& u : pool_.boards()) {
+  for (UpstreamState& u : pool_.upstreams()) {
     const LimitRecord* l = limits_.Find(u.info.id);
     std::optional<double> per_s;
     if (l) per_s = l->per_s;
@@ -80,7 +81,7 @@
               {"serving", send_slot_share_.serving},
               {"place", send_slot_share_.place}});
     u.limit_per_s = per_s;
-    if (!per_s) u.no_turn = false;
+    if (!per_s) u.no_send_slot = false;
   }
   metrics_.SetLimited(limits_.in_force());
 }
@@ -88,10 +89,10 @@
 void Gateway::ExpireLimits(TimePoint now) {
   limits_.Keep(
       [this](const std::string& id) { return pool_.Find(id) != nullptr; }, now);
-  if (limits_.changes() != limit_changes_applied_) ApplyLimitsToBoards();
+  if (limits_.changes() != limit_changes_applied_) ApplyLimitsToUpstreams();
 }
 
-TurnAsk Gateway::SendSlotQueryFor(const UpstreamBoard& u, TimePoint now) const {
+TurnAsk Gateway::SendSlotQueryFor(const UpstreamState& u, TimePoint now) const {
   Millis time =
       options_.group_time
           ? options_.group_time(now)
@@ -101,14 +102,15 @@
 
 // Returns whether this process may send to `u` now under its rate limit.
 // Precondition: `u` has announced a limit.
-bool Gateway::HasSendSlot(const UpstreamBoard& u, TimePoint now) const {
+bool Gateway::HasSendSlot(const UpstreamState& u, TimePoint now) const {
   return TurnsHaveBegun(u.limit_since, now) &&
-         OpenTurn(SendSlotQueryFor(u, now), u.turn_taken).has_value();
+         OpenTurn(SendSlotQueryFor(u, now), u.last_send_slot).has_value();
 }
 
-void Gateway::UseSendSlot(UpstreamBoard& u, TimePoint now) {
-  std::optional<Millis> slot = OpenTurn(SendSlotQueryFor(u, now), u.turn_taken);
-  if (slot) u.turn_taken = slot;
+void Gateway::UseSendSlot(UpstreamState& u, TimePoint now) {
+  std::optional<Millis> slot =
+      OpenTurn(SendSlotQueryFor(u, now), u.last_send_slot);
+  if (slot) u.last_send_slot = slot;
 }
 
 }  // namespace medlarwalk
--- a/src/gateway_timers.cc
+++ b/src/gateway_timers.cc
@@ -13,9 +13,9 @@
 namespace {
 
 // A stream without progress is retried at another upstream, if allowed, after
-// this many inter-token targets, or before its first event after this many
+// this many event gap targets, or before its first event after this many
 // latency targets, but no sooner than kMinStreamStall.
-constexpr int kStallInterTokenTargets = 6;
+constexpr int kStallEventGapTargets = 6;
 constexpr int kStallFirstEventTargets = 2;
 constexpr auto kMinStreamStall = Millis(1000);
 // A repeatable plain request is retried at another upstream after this many
@@ -33,7 +33,7 @@
 void Gateway::DispatchWaiting() {
   if (dispatching_waiting_) return;
   dispatching_waiting_ = true;
-  for (const std::string& service : wait_queue_.Services()) {
+  for (const std::string& service : waiting_queue_.WaitingServices()) {
     // A request that cannot be placed does not block the requests behind it in
     // the queue.
     TimePoint now = clock_.Now();
@@ -41,7 +41,7 @@
     // properties that decide placement, so a request with the same key is
     // skipped.
     std::set<std::tuple<Tier, bool, WorkShape, uint64_t>> unplaceable;
-    for (uint64_t seq : wait_queue_.InOrder(service, now)) {
+    for (uint64_t seq : waiting_queue_.ServingOrder(service, now)) {
       Request& r = *requests_.at(seq);
       auto placement_key =
           std::make_tuple(r.rank, now >= r.starving_from, r.shape, r.affinity);
@@ -52,8 +52,8 @@
         continue;
       }
       r.waiting = false;
-      wait_queue_.Served(seq, now);
-      wait_queue_.NotePlace(service, now);
+      waiting_queue_.RemoveServed(seq, now);
+      waiting_queue_.RecordDispatch(service, now);
     }
   }
   dispatching_waiting_ = false;
@@ -70,36 +70,36 @@
   } else {
     limit = std::max<Duration>(
         kMinStreamStall,
-        r.stream_started ? r.route->pause_target * kStallInterTokenTargets
+        r.stream_started ? r.route->event_gap_target * kStallEventGapTargets
                          : r.route->latency_target * kStallFirstEventTargets);
   }
   if (now - r.progress_at < limit) return;
-  const UpstreamBoard* u = pool_.Find(r.upstream);
+  const UpstreamState* u = pool_.Find(r.upstream);
   // An upstream that still sends data to other requests is busy, not silent.
-  if (r.stream() && u && now - u->quiet_since < kMinStreamStall) return;
+  if (r.stream() && u && now - u->last_activity_at < kMinStreamStall) return;
   HandleFailedAttempt(r, CallEnd::kNoAnswer, "silent");
 }
 
 void Gateway::LogPlacementFailure(const Request& r, TimePoint now) {
-  NoPlaceCounts n = CountNoPlace(pool_.boards(), PlacementInputFor(r), now,
-                                 options_.placement);
+  AvailabilityCounts n = CountAvailability(
+      pool_.upstreams(), PlacementRequestFor(r), now, options_.placement);
   Tier rejected_tier = -1;
-  TierGuardFor(r.service->name).TurningAway(now, &rejected_tier);
-  const ReadingGate& limiter = PrefillLimiterFor(r.service->name);
+  TierAdmissionFor(r.service->name).MostUrgentRejectedTier(now, &rejected_tier);
+  const PrefillLimiter& limiter = PrefillLimiterFor(r.service->name);
   LogEvent("no_place", {{"request", r.facts.id},
                         {"tier", r.tier},
                         {"rank", r.rank},
                         {"sends", r.sends},
                         {"tier_turned_away", rejected_tier},
-                        {"reading", limiter.under_way()},
+                        {"reading", limiter.in_flight()},
                         {"reading_limit", static_cast<int>(limiter.limit())},
                         {"upstreams", n.upstreams},
                         {"unusable", n.unusable},
-                        {"full", n.full},
-                        {"resting", n.resting},
-                        {"limited", n.limited},
+                        {"full", n.at_own_limit},
+                        {"resting", n.in_backoff},
+                        {"limited", n.rate_limited},
                         {"loaded", n.loaded},
-                        {"reads", n.reading},
+                        {"reads", n.prefill_limited},
                         {"free", n.free}});
 }
 
@@ -110,11 +110,11 @@
   demand_updated_at_ = now;
   for (const auto& [service, engine_count] : decode_engines_) {
     DecodeDemand& demand = decode_demand_[service];
-    double n = DecodeLoad(pool_.boards(), service, engine_count, now,
+    double n = DecodeLoad(pool_.upstreams(), service, engine_count, now,
                           options_.placement);
-    demand.in_flight += (n - demand.in_flight) * share;
-    double waits = wait_queue_.size(service) > 0 ? 1 : 0;
-    demand.pressure += (waits - demand.pressure) * share;
+    demand.generations_in_flight += (n - demand.generations_in_flight) * share;
+    double waits = waiting_queue_.size(service) > 0 ? 1 : 0;
+    demand.prefill_wait_share += (waits - demand.prefill_wait_share) * share;
   }
 }
 
@@ -136,7 +136,7 @@
 void Gateway::Tick() {
   TimePoint now = clock_.Now();
   UpdateDecodeDemand(now);
-  prefix_holders_.Tick(now);
+  prefix_cache_index_.RemoveExpired(now);
   crash_watch_.Tick(now);
   quarantine_.Tick(now);
   FailQuarantinedRequests();
@@ -156,7 +156,7 @@
                                        : ErrorKind::kNotRunInTime,
                 "time over");
   }
-  for (uint64_t seq : wait_queue_.Expired(now)) {
+  for (uint64_t seq : waiting_queue_.ExpiredRequests(now)) {
     auto it = requests_.find(seq);
     if (it == requests_.end()) continue;
     Request& r = *it->second;
@@ -174,10 +174,10 @@
   }
   pool_.Tick();
   if (std::exchange(decode_paces_changed_, false)) {
-    MarkSlow(absl::MakeSpan(pool_.boards()), options_.placement);
+    MarkSlowDecoders(absl::MakeSpan(pool_.upstreams()), options_.placement);
   }
   if (options_.placement.straggler_factor > 0) {
-    MarkStragglers(absl::MakeSpan(pool_.boards()), options_.placement);
+    MarkStragglers(absl::MakeSpan(pool_.upstreams()), options_.placement);
   }
   DispatchWaiting();
   UpdateWaitingMetrics();
--- a/src/own_api.cc
+++ b/src/own_api.cc
@@ -265,7 +265,7 @@
       r.path_prefix = path;
       r.timeout = kMaxAnswerTime;
       r.latency_target = k.first_token_target;
-      r.pause_target = k.between_tokens_target;
+      r.event_gap_target = k.between_tokens_target;
       r.tier = k.tier;
       for (const auto& [s, n] : services) r.services.push_back({s, n});
       r.max_attempts = kMaxAttempts;
--- a/src/policy/newest_gate.cc
+++ b/src/policy/newest_gate.cc
@@ -4,7 +4,8 @@
 
 namespace medlarwalk {
 
-void NewestGate::Offer(int64_t version, Document document, Done done) {
+void ConflatingSender::SendOrHold(int64_t version, Document document,
+                                  Done done) {
   if (HasCapacity()) {
     Change change{version, std::move(document), {}};
     change.done.push_back(std::move(done));
@@ -18,7 +19,7 @@
   pending_.done.push_back(std::move(done));
 }
 
-void NewestGate::SendChange(Change change) {
+void ConflatingSender::SendChange(Change change) {
   size_t bytes_sent = change.document->size();
   in_flight_bytes_ += bytes_sent;
   send_(change.version, change.document,
--- a/src/policy/newest_gate.h
+++ b/src/policy/newest_gate.h
@@ -19,7 +19,7 @@
 // limit only the newest change is kept pending, and older ones get its result:
 // a change that a newer one replaced never takes effect separately. Pure except
 // for `send`. Thread safety: loop thread only.
-class NewestGate {
+class ConflatingSender {
  public:
   using Done = std::function<void(absl::Status)>;
   // Sends one change. Must call its Done exactly once, possibly before it
@@ -28,15 +28,15 @@
 
   // A change is sent whatever its size if fewer than `max_in_flight_bytes` are
   // in flight.
-  NewestGate(size_t max_in_flight_bytes, Send send)
+  ConflatingSender(size_t max_in_flight_bytes, Send send)
       : max_in_flight_bytes_(max_in_flight_bytes), send_(std::move(send)) {}
-  NewestGate(const NewestGate&) = delete;
-  NewestGate& operator=(const NewestGate&) = delete;
+  ConflatingSender(const ConflatingSender&) = delete;
+  ConflatingSender& operator=(const ConflatingSender&) = delete;
 
   // Sends the change or keeps it pending. Calls `done` with the result of this
   // change or of the one that replaced it. Of pending changes with the same
   // version, the first is kept.
-  void Offer(int64_t version, Document document, Done done);
+  void SendOrHold(int64_t version, Document document, Done done);
   // Returns the number of bytes in flight and pending.
   size_t bytes() const {
     return in_flight_bytes_ +
--- a/src/policy/part_memory.cc
+++ b/src/policy/part_memory.cc
@@ -2,22 +2,23 @@
 
 namespace medlarwalk {
 
-void PartMemory::Note(absl::Span<const PromptPart> parts,
-                      const std::string& engine, TimePoint now) {
+void PrefixCacheIndex::RecordPrefilled(absl::Span<const PromptPart> parts,
+                                       const std::string& engine,
+                                       TimePoint now) {
   for (size_t i = 0; i + 1 < parts.size(); ++i) {
     if (seen_.size() >= max_parts_ && !seen_.count(parts[i].id)) return;
     seen_[parts[i].id] = LastSeen{engine, now};
   }
 }
 
-void PartMemory::Forget(const std::string& engine) {
+void PrefixCacheIndex::RemoveEngine(const std::string& engine) {
   for (auto it = seen_.begin(); it != seen_.end();) {
     it = it->second.engine == engine ? seen_.erase(it) : std::next(it);
   }
 }
 
-PartMemory::Holding PartMemory::Holder(absl::Span<const PromptPart> parts,
-                                       TimePoint now) const {
+PrefixCacheIndex::PrefixMatch PrefixCacheIndex::FindLongestPrefix(
+    absl::Span<const PromptPart> parts, TimePoint now) const {
   for (size_t i = parts.size(); i-- > 0;) {
     if (i + 1 == parts.size()) continue;
     auto it = seen_.find(parts[i].id);
@@ -28,7 +29,7 @@
   return {};
 }
 
-void PartMemory::Tick(TimePoint now) {
+void PrefixCacheIndex::RemoveExpired(TimePoint now) {
   for (auto it = seen_.begin(); it != seen_.end();) {
     it = now - it->second.at > lifetime_ ? seen_.erase(it) : std::next(it);
   }
--- a/src/policy/part_memory.h
+++ b/src/policy/part_memory.h
@@ -22,28 +22,29 @@
 
 // Table of prompt parts and the engines that hold them. Thread safety: loop
 // thread only.
-class PartMemory {
+class PrefixCacheIndex {
  public:
   // `lifetime`: time after which a recorded part is ignored. `max_parts`:
   // maximum number of recorded parts.
-  PartMemory(Duration lifetime, size_t max_parts)
+  PrefixCacheIndex(Duration lifetime, size_t max_parts)
       : lifetime_(lifetime), max_parts_(max_parts) {}
 
   // Records that `engine` has just prefilled all of `parts`.
-  void Note(absl::Span<const PromptPart> parts, const std::string& engine,
-            TimePoint now);
+  void RecordPrefilled(absl::Span<const PromptPart> parts,
+                       const std::string& engine, TimePoint now);
   // Removes all parts of `engine`, which terminated or lost its memory.
-  void Forget(const std::string& engine);
+  void RemoveEngine(const std::string& engine);
   // An engine and what it holds of a prompt.
-  struct Holding {
+  struct PrefixMatch {
     std::string engine;  // "" when no engine is known.
     size_t parts = 0;    // Number of leading parts that it holds.
   };
   // Returns the engine that holds the longest leading run of `parts`. The last
   // part belongs to the request alone and is ignored.
-  Holding Holder(absl::Span<const PromptPart> parts, TimePoint now) const;
+  PrefixMatch FindLongestPrefix(absl::Span<const PromptPart> parts,
+                                TimePoint now) const;
   // Removes expired parts.
-  void Tick(TimePoint now);
+  void RemoveExpired(TimePoint now);
   size_t size() const { return seen_.size(); }
 
  private:
--- a/src/policy/placement.cc
+++ b/src/policy/placement.cc
@@ -32,11 +32,11 @@
 // paces.
 constexpr size_t kMinKnownPaces = 4;
 constexpr size_t kFastQuantileDivisor = 4;
-// Upper bound of a recorded token gap, in shares of its target. A stream that
+// Upper bound of a recorded event gap, in shares of its target. A stream that
 // broke off says nothing about the gaps of others.
 constexpr double kMaxGapShare = 1.2;
 
-double RemainingPrefillTokens(const UpstreamBoard& u, TimePoint now,
+double RemainingPrefillTokens(const UpstreamState& u, TimePoint now,
                               const PlacementPolicy& policy) {
   double ms =
       std::chrono::duration<double, std::milli>(now - u.pending_prefill_at)
@@ -73,11 +73,11 @@
 }
 
 // Returns the mean failure share of the service's upstreams.
-double MeanFailureShare(absl::Span<const UpstreamBoard> upstreams,
+double MeanFailureShare(absl::Span<const UpstreamState> upstreams,
                         absl::string_view service) {
   double sum = 0;
   int n = 0;
-  for (const UpstreamBoard& u : upstreams) {
+  for (const UpstreamState& u : upstreams) {
     if (u.info.service != service || u.answer_count < kFailureSamples) continue;
     sum += u.failure_share;
     ++n;
@@ -85,25 +85,25 @@
   return n ? sum / n : 0;
 }
 
-double LoadShare(const UpstreamBoard& u, TimePoint now,
+double LoadShare(const UpstreamState& u, TimePoint now,
                  const PlacementPolicy& policy) {
   return EstimatedLoad(u, now, policy) / std::max(1, u.info.slots);
 }
 
 // Returns whether this process's prefills at `u` are at their limit.
-bool AtPrefillLimit(const UpstreamBoard& u, const PlacementAsk& request,
+bool AtPrefillLimit(const UpstreamState& u, const PlacementRequest& request,
                     const PlacementPolicy& policy) {
-  return !policy.blind && request.shape == WorkShape::kPrefill &&
-         u.reading >= std::max(1, static_cast<int>(u.prefill_limit));
+  return !policy.first_available && request.shape == WorkShape::kPrefill &&
+         u.prefills_in_flight >= std::max(1, static_cast<int>(u.prefill_limit));
 }
 
-Candidate ScoreCandidate(const UpstreamBoard& u, size_t index,
-                         const PlacementAsk& request, TimePoint now,
+Candidate ScoreCandidate(const UpstreamState& u, size_t index,
+                         const PlacementRequest& request, TimePoint now,
                          double mean_failure_share,
                          const PlacementPolicy& policy) {
   Candidate s{index, 0, false, false};
   s.score = LoadShare(u, now, policy);
-  s.busy = s.score >= request.most_load || AtPrefillLimit(u, request, policy);
+  s.busy = s.score >= request.max_load || AtPrefillLimit(u, request, policy);
   if (request.shape != WorkShape::kPlain) {
     bool reserved_for_decode = u.rank < request.decode_engines;
     s.shape_mismatch =
@@ -125,19 +125,19 @@
 }
 
 std::optional<size_t> ChoosePinnedUpstream(
-    absl::Span<const UpstreamBoard> upstreams, const PlacementAsk& request,
+    absl::Span<const UpstreamState> upstreams, const PlacementRequest& request,
     TimePoint now, const PlacementPolicy& policy) {
   std::optional<size_t> chosen;
   uint64_t best_hash = 0;
   for (size_t i = 0; i < upstreams.size(); ++i) {
-    const UpstreamBoard& u = upstreams[i];
+    const UpstreamState& u = upstreams[i];
     if (u.info.service != request.service || !u.listed) continue;
     uint64_t h = StableHash(u.info.id, request.pinned);
     if (chosen && h <= best_hash) continue;
     chosen = i;
     best_hash = h;
   }
-  if (!chosen || Contains(request.avoid, upstreams[*chosen].info.id))
+  if (!chosen || Contains(request.tried_ids, upstreams[*chosen].info.id))
     return std::nullopt;
   Candidate s =
       ScoreCandidate(upstreams[*chosen], *chosen, request, now, 0, policy);
@@ -176,40 +176,42 @@
 
 }  // namespace
 
-double EstimatedLoad(const UpstreamBoard& u, TimePoint now,
+double EstimatedLoad(const UpstreamState& u, TimePoint now,
                      const PlacementPolicy& policy) {
   double own = u.in_flight;
   if (u.reported_at == TimePoint{}) return own;
   Duration age = now - u.reported_at;
   if (age > policy.report_lifetime) return own;
   // The report, corrected by this process's requests sent and finished since.
-  double reported_now =
-      std::max<double>(own, u.reported + u.in_flight - u.in_flight_at_report);
+  double reported_now = std::max<double>(
+      own, u.reported_load + u.in_flight - u.in_flight_at_report);
   double w = 1.0 - ToSeconds(age) / ToSeconds(policy.report_lifetime);
   return w * reported_now + (1 - w) * own;
 }
 
-bool AnyLeft(absl::Span<const UpstreamBoard> upstreams,
-             const PlacementAsk& request) {
+bool HasUntriedUpstream(absl::Span<const UpstreamState> upstreams,
+                        const PlacementRequest& request) {
   return std::any_of(upstreams.begin(), upstreams.end(), [&](const auto& u) {
-    return u.info.service == request.service && u.listed && !u.info.leaving &&
-           !u.ended && !Contains(request.avoid, u.info.id);
+    return u.info.service == request.service && u.listed && !u.info.draining &&
+           !u.terminated && !Contains(request.tried_ids, u.info.id);
   });
 }
 
-bool Usable(const UpstreamBoard& u, TimePoint now,
+bool Usable(const UpstreamState& u, TimePoint now,
             const PlacementPolicy& policy) {
-  if (!u.listed || u.info.leaving || u.full || u.ended) return false;
-  if (u.no_turn || now < u.rest_until) return false;
+  if (!u.listed || u.info.draining || u.at_own_limit || u.terminated)
+    return false;
+  if (u.no_send_slot || now < u.backoff_until) return false;
   if (!u.reachable) return false;
   if (now < u.ejected_until) return false;
-  return !(u.in_flight > 0 && u.quiet_since != TimePoint{} &&
-           now - u.quiet_since > policy.max_silence);
+  return !(u.in_flight > 0 && u.last_activity_at != TimePoint{} &&
+           now - u.last_activity_at > policy.max_silence);
 }
 
-std::optional<size_t> Place(absl::Span<const UpstreamBoard> upstreams,
-                            const PlacementAsk& request, TimePoint now,
-                            double draw, const PlacementPolicy& policy) {
+std::optional<size_t> ChooseUpstream(absl::Span<const UpstreamState> upstreams,
+                                     const PlacementRequest& request,
+                                     TimePoint now, double draw,
+                                     const PlacementPolicy& policy) {
   if (request.pinned != 0)
     return ChoosePinnedUpstream(upstreams, request, now, policy);
   double mean_failure_share = MeanFailureShare(upstreams, request.service);
@@ -218,13 +220,15 @@
   bool use_affinity =
       request.affinity != 0 && request.shape == WorkShape::kPrefill;
   for (size_t i = 0; i < upstreams.size(); ++i) {
-    const UpstreamBoard& u = upstreams[i];
-    if (u.info.service != request.service || !u.listed || u.info.leaving)
+    const UpstreamState& u = upstreams[i];
+    if (u.info.service != request.service || !u.listed || u.info.draining)
+      continue;
+    if (Contains(request.tried_ids, u.info.id) || u.at_own_limit ||
+        u.terminated)
       continue;
-    if (Contains(request.avoid, u.info.id) || u.full || u.ended) continue;
     // A requested backoff or rate limit holds even when no other upstream is
     // left.
-    if (!u.reachable || u.no_turn || now < u.rest_until) continue;
+    if (!u.reachable || u.no_send_slot || now < u.backoff_until) continue;
     if (!Usable(u, now, policy)) {
       if (!fallback || u.ejected_until < upstreams[*fallback].ejected_until) {
         fallback = i;
@@ -247,7 +251,7 @@
   const Candidate* best = nullptr;
   for (size_t k = 0; k < n; ++k) {
     const Candidate& s = candidates[(start + k) % n];
-    if (policy.blind && !s.busy) return s.index;
+    if (policy.first_available && !s.busy) return s.index;
     if (!s.busy && (!best || s.score < best->score)) best = &s;
   }
   // If all usable upstreams are busy, the request waits; an ejected or silent
@@ -264,26 +268,28 @@
   return preferred->index;
 }
 
-NoPlaceCounts CountNoPlace(absl::Span<const UpstreamBoard> upstreams,
-                           const PlacementAsk& request, TimePoint now,
-                           const PlacementPolicy& policy) {
-  NoPlaceCounts n;
-  for (const UpstreamBoard& u : upstreams) {
-    if (u.info.service != request.service || !u.listed || u.info.leaving)
+AvailabilityCounts CountAvailability(absl::Span<const UpstreamState> upstreams,
+                                     const PlacementRequest& request,
+                                     TimePoint now,
+                                     const PlacementPolicy& policy) {
+  AvailabilityCounts n;
+  for (const UpstreamState& u : upstreams) {
+    if (u.info.service != request.service || !u.listed || u.info.draining)
       continue;
     ++n.upstreams;
-    if (u.full) {
-      ++n.full;
-    } else if (now < u.rest_until) {
-      ++n.resting;
-    } else if (u.no_turn) {
-      ++n.limited;
-    } else if (Contains(request.avoid, u.info.id) || !Usable(u, now, policy)) {
+    if (u.at_own_limit) {
+      ++n.at_own_limit;
+    } else if (now < u.backoff_until) {
+      ++n.in_backoff;
+    } else if (u.no_send_slot) {
+      ++n.rate_limited;
+    } else if (Contains(request.tried_ids, u.info.id) ||
+               !Usable(u, now, policy)) {
       ++n.unusable;
-    } else if (LoadShare(u, now, policy) >= request.most_load) {
+    } else if (LoadShare(u, now, policy) >= request.max_load) {
       ++n.loaded;
     } else if (AtPrefillLimit(u, request, policy)) {
-      ++n.reading;
+      ++n.prefill_limited;
     } else {
       ++n.free;
     }
@@ -291,27 +297,29 @@
   return n;
 }
 
-Duration RestLeft(absl::Span<const UpstreamBoard> upstreams,
-                  absl::string_view service, TimePoint now) {
+Duration RemainingBackoff(absl::Span<const UpstreamState> upstreams,
+                          absl::string_view service, TimePoint now) {
   std::optional<TimePoint> earliest;
-  for (const UpstreamBoard& u : upstreams) {
-    if (u.info.service != service || !u.listed || u.info.leaving || u.ended) {
+  for (const UpstreamState& u : upstreams) {
+    if (u.info.service != service || !u.listed || u.info.draining ||
+        u.terminated) {
       continue;
     }
-    if (!earliest || u.rest_until < *earliest) earliest = u.rest_until;
+    if (!earliest || u.backoff_until < *earliest) earliest = u.backoff_until;
   }
   return earliest && *earliest > now ? *earliest - now : Duration::zero();
 }
 
-std::optional<size_t> FirstHome(absl::Span<const UpstreamBoard> upstreams,
-                                absl::string_view service, uint64_t prefix_hash,
-                                int decode_engines,
-                                absl::string_view excluded_id, TimePoint now,
-                                const PlacementPolicy& policy) {
+std::optional<size_t> PreferredEngine(absl::Span<const UpstreamState> upstreams,
+                                      absl::string_view service,
+                                      uint64_t prefix_hash, int decode_engines,
+                                      absl::string_view excluded_id,
+                                      TimePoint now,
+                                      const PlacementPolicy& policy) {
   std::optional<size_t> preferred;
   uint64_t best_hash = 0;
   for (size_t i = 0; i < upstreams.size(); ++i) {
-    const UpstreamBoard& u = upstreams[i];
+    const UpstreamState& u = upstreams[i];
     if (u.info.service != service || u.rank < decode_engines ||
         !Usable(u, now, policy) || u.info.id == excluded_id) {
       continue;
@@ -325,11 +333,11 @@
   return preferred;
 }
 
-double DecodeLoad(absl::Span<const UpstreamBoard> upstreams,
+double DecodeLoad(absl::Span<const UpstreamState> upstreams,
                   absl::string_view service, int decode_engines, TimePoint now,
                   const PlacementPolicy& policy) {
   double sum = 0;
-  for (const UpstreamBoard& u : upstreams) {
+  for (const UpstreamState& u : upstreams) {
     if (u.info.service != service || !u.listed || u.rank >= decode_engines)
       continue;
     sum += EstimatedLoad(u, now, policy);
@@ -337,8 +345,8 @@
   return sum;
 }
 
-void NotePause(double gap_share, TimePoint now, const PlacementPolicy& policy,
-               DecodeDemand* demand) {
+void RecordEventGapShare(double gap_share, TimePoint now,
+                         const PlacementPolicy& policy, DecodeDemand* demand) {
   double age = ToSeconds(now - demand->recent_gap_at) / policy.gap_decay_s;
   double decayed = demand->recent_gap_share * std::exp(-age);
   demand->recent_gap_share =
@@ -350,14 +358,14 @@
     demand->gaps_near_target = false;
 }
 
-int DecodeEngines(const DecodeDemand& demand, int current, int slots,
-                  int engines, const PlacementPolicy& policy) {
-  if (engines < policy.split_from) return 0;
+int ComputeDecodeEngines(const DecodeDemand& demand, int current, int slots,
+                         int engines, const PlacementPolicy& policy) {
+  if (engines < policy.min_engines_to_split) return 0;
   double fill = policy.decode_fill_low_pressure +
-                demand.pressure * (policy.decode_fill_high_pressure -
-                                   policy.decode_fill_low_pressure);
-  double needed =
-      demand.in_flight / std::max(1.0, fill * static_cast<double>(slots));
+                demand.prefill_wait_share * (policy.decode_fill_high_pressure -
+                                             policy.decode_fill_low_pressure);
+  double needed = demand.generations_in_flight /
+                  std::max(1.0, fill * static_cast<double>(slots));
   double hysteresis = policy.decode_hysteresis;
   int count =
       std::clamp(current, static_cast<int>(std::ceil(needed - hysteresis)),
@@ -371,8 +379,8 @@
   return OwnSlotShare(policy.own_generations_share, slots, serving);
 }
 
-bool TakesGeneration(const UpstreamBoard& u, int slots, int serving,
-                     TimePoint now, const PlacementPolicy& policy) {
+bool AcceptsGeneration(const UpstreamState& u, int slots, int serving,
+                       TimePoint now, const PlacementPolicy& policy) {
   if (u.in_flight < OwnGenerationLimit(slots, serving, policy)) {
     return true;
   }
@@ -386,23 +394,23 @@
          EstimatedLoad(u, now, policy) < policy.spare_load_share * slots;
 }
 
-WorkShape ShapeOf(int64_t prompt_tokens, int64_t output_tokens,
-                  const PlacementPolicy& policy) {
+WorkShape ClassifyWork(int64_t prompt_tokens, int64_t output_tokens,
+                       const PlacementPolicy& policy) {
   return static_cast<double>(output_tokens) >=
                  policy.decode_share * static_cast<double>(prompt_tokens)
              ? WorkShape::kDecode
              : WorkShape::kPrefill;
 }
 
-void RankUpstreams(absl::Span<UpstreamBoard> upstreams) {
+void RankUpstreams(absl::Span<UpstreamState> upstreams) {
   struct RankEntry {
     uint64_t hash;
-    UpstreamBoard* upstream;
+    UpstreamState* upstream;
   };
   std::map<absl::string_view, std::vector<RankEntry>> services;
-  for (UpstreamBoard& u : upstreams) {
+  for (UpstreamState& u : upstreams) {
     u.rank = u.ranked_count = 0;
-    if (!u.listed || u.info.leaving) continue;
+    if (!u.listed || u.info.draining) continue;
     services[u.info.service].push_back({StableHash(u.info.id), &u});
   }
   for (auto& [service, entries] : services) {
@@ -418,32 +426,32 @@
   }
 }
 
-int RankedUpstreams(absl::Span<const UpstreamBoard> upstreams,
-                    absl::string_view service) {
+int CountRankedUpstreams(absl::Span<const UpstreamState> upstreams,
+                         absl::string_view service) {
   int n = 0;
-  for (const UpstreamBoard& u : upstreams) {
+  for (const UpstreamState& u : upstreams) {
     if (u.info.service == service) n = std::max(n, u.ranked_count);
   }
   return n;
 }
 
-void NoteEventGap(UpstreamBoard& u, Duration gap) {
+void RecordEventGap(UpstreamState& u, Duration gap) {
   double s = ToSeconds(gap);
   u.mean_event_gap_s +=
       u.event_gap_samples == 0 ? s : kGapSmoothing * (s - u.mean_event_gap_s);
   ++u.event_gap_samples;
 }
 
-void MarkStragglers(absl::Span<UpstreamBoard> upstreams,
+void MarkStragglers(absl::Span<UpstreamState> upstreams,
                     const PlacementPolicy& policy) {
   std::map<absl::string_view, std::vector<double>> gaps;
-  for (UpstreamBoard& u : upstreams) {
+  for (UpstreamState& u : upstreams) {
     u.straggler = false;
     if (u.listed && u.event_gap_samples >= policy.min_straggler_samples) {
       gaps[u.info.service].push_back(u.mean_event_gap_s);
     }
   }
-  for (UpstreamBoard& u : upstreams) {
+  for (UpstreamState& u : upstreams) {
     std::vector<double>& g = gaps[u.info.service];
     if (g.size() < 2 || u.event_gap_samples < policy.min_straggler_samples)
       continue;
@@ -453,7 +461,7 @@
   }
 }
 
-void NotePace(UpstreamBoard& u, Duration gap) {
+void RecordDecodePace(UpstreamState& u, Duration gap) {
   double s = ToSeconds(gap);
   if (u.decode_pace_s == 0) {
     u.decode_pace_s = s;
@@ -464,10 +472,10 @@
   }
 }
 
-void MarkSlow(absl::Span<UpstreamBoard> upstreams,
-              const PlacementPolicy& policy) {
+void MarkSlowDecoders(absl::Span<UpstreamState> upstreams,
+                      const PlacementPolicy& policy) {
   std::map<absl::string_view, std::vector<double>> paces;
-  for (const UpstreamBoard& u : upstreams) {
+  for (const UpstreamState& u : upstreams) {
     if (u.listed && u.decode_pace_s > 0)
       paces[u.info.service].push_back(u.decode_pace_s);
   }
@@ -479,7 +487,7 @@
     std::nth_element(p.begin(), quantile, p.end());
     reference_pace[service] = *quantile;
   }
-  for (UpstreamBoard& u : upstreams) {
+  for (UpstreamState& u : upstreams) {
     auto it = reference_pace.find(u.info.service);
     u.slow_decode = policy.slow_decode_factor > 0 &&
                     it != reference_pace.end() &&
@@ -487,15 +495,15 @@
   }
 }
 
-void NoteSuccess(UpstreamBoard& u, TimePoint now) {
+void RecordSuccess(UpstreamState& u, TimePoint now) {
   u.consecutive_failures = 0;
   u.ejected_until = std::min(u.ejected_until, now);
   u.failure_share *= 1 - kFailureSmoothing;
   ++u.answer_count;
 }
 
-void NoteFailure(UpstreamBoard& u, TimePoint now, bool connection,
-                 const PlacementPolicy& policy) {
+void RecordFailure(UpstreamState& u, TimePoint now, bool connection,
+                   const PlacementPolicy& policy) {
   u.failure_share += kFailureSmoothing * (1 - u.failure_share);
   ++u.answer_count;
   if (!connection) return;
@@ -507,14 +515,15 @@
   u.ejected_until = now + std::min(ejection, policy.max_ejection);
 }
 
-void NoteReport(UpstreamBoard& u, int running, int waiting, TimePoint now) {
-  u.reported = running + waiting;
+void RecordLoadReport(UpstreamState& u, int running, int waiting,
+                      TimePoint now) {
+  u.reported_load = running + waiting;
   u.in_flight_at_report = u.in_flight;
   u.reported_at = now;
 }
 
-void NoteFirstEvent(UpstreamBoard& u, Duration took, Duration target,
-                    const PlacementPolicy& policy) {
+void RecordFirstEvent(UpstreamState& u, Duration took, Duration target,
+                      const PlacementPolicy& policy) {
   if (took > std::chrono::duration_cast<Duration>(target *
                                                   policy.prefill_late_share)) {
     u.prefill_limit = std::max(1.0, u.prefill_limit * policy.prefill_backoff);
@@ -524,8 +533,8 @@
   }
 }
 
-void NotePrefill(UpstreamBoard& u, double tokens, TimePoint now,
-                 const PlacementPolicy& policy) {
+void RecordPrefillSent(UpstreamState& u, double tokens, TimePoint now,
+                       const PlacementPolicy& policy) {
   u.pending_prefill_tokens = RemainingPrefillTokens(u, now, policy) + tokens;
   u.pending_prefill_at = now;
 }
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -20,20 +20,20 @@
 namespace medlarwalk {
 
 // State of one upstream as seen by one entry process.
-struct UpstreamBoard {
+struct UpstreamState {
   UpstreamInfo info;
   // Present in the newest upstream list. An unlisted upstream only finishes
   // its running requests.
   bool listed = true;
   // The upstream has announced that it is draining, whatever the list says.
-  bool said_leaving = false;
+  bool announced_draining = false;
   // Another incarnation answers at the address of this one, so this one has
   // terminated, whatever the list says.
-  bool ended = false;
+  bool terminated = false;
   int in_flight = 0;  // Requests of this process at the upstream.
   // Last load report: requests reported, requests of this process in flight
   // when the report arrived, and time of arrival.
-  int reported = 0;
+  int reported_load = 0;
   int in_flight_at_report = 0;
   TimePoint reported_at{};
   // Rate limit announced by the upstream, in requests per second summed over
@@ -41,11 +41,11 @@
   // that this process used.
   std::optional<double> limit_per_s;
   TimePoint limit_since{};
-  std::optional<Millis> turn_taken;
+  std::optional<Millis> last_send_slot;
   // End of the backoff that the upstream requested from this process.
-  TimePoint rest_until{};
+  TimePoint backoff_until{};
   // The rate limit gives this process no send slot now.
-  bool no_turn = false;
+  bool no_send_slot = false;
   // Number of refused connections and broken answers in a row. Too many of them
   // eject the upstream until `ejected_until`.
   int consecutive_failures = 0;
@@ -55,10 +55,10 @@
   int answer_count = 0;
   // Last time the upstream sent something, at the earliest the time of the
   // first request in flight. Unset while no request of this process is there.
-  TimePoint quiet_since{};
+  TimePoint last_activity_at{};
   // This process may add no request: its connections or its share of the
   // engine's slots are used up.
-  bool full = false;
+  bool at_own_limit = false;
   bool reachable = true;  // No link on the path to it is known to be down.
   // Smoothed gap between events of streams, in seconds, and number of gaps.
   double mean_event_gap_s = 0;
@@ -70,7 +70,7 @@
   // The decode pace is slow compared with other engines of the service.
   bool slow_decode = false;
   // Long prompts of this process in prefill at the engine, and their limit.
-  int reading = 0;
+  int prefills_in_flight = 0;
   double prefill_limit = 2;
   // Index in the order of the service's upstreams that is the same in every
   // entry process, and number of upstreams in that order.
@@ -85,7 +85,7 @@
 enum class WorkShape {
   kPlain,    // The upstream is no engine.
   kPrefill,  // Long prompt, short output.
-  kDecode,   // Long generation; concurrent prefills widen its token gaps.
+  kDecode,   // Long generation; concurrent prefills widen its event gaps.
 };
 
 // Parameters of placement.
@@ -117,7 +117,7 @@
   double decode_fill_low_pressure = 0.25;
   double decode_fill_high_pressure = 0.6;
   // At least a third of the engines is reserved for long generations once the
-  // longest recent token gap exceeds gap_high_share of its target, and until it
+  // longest recent event gap exceeds gap_high_share of its target, and until it
   // falls below gap_low_share. The recent gap decays with the time constant
   // gap_decay_s. Every entry with a generation at an engine observes the same
   // gaps, so entries agree without communication.
@@ -166,18 +166,18 @@
   double spare_load_share = 0.75;
   Duration max_spare_report_age = Millis(500);
   // Services with fewer engines reserve none for a work shape.
-  int split_from = 2;
+  int min_engines_to_split = 2;
   // Load, in shares of slots, at which an upstream gets no more requests. Above
   // it the upstream queues requests in its own order.
-  double most_engine_load = 1.0;
-  double most_plain_load = 2.0;
+  double max_engine_load = 1.0;
+  double max_plain_load = 2.0;
   // Part of this process's concurrency limit at an upstream that is reserved
   // for the top tier. Without it, long requests of lower tiers can occupy every
   // slot for seconds.
-  double reserved_share = 0;
+  double reserved_top_tier_share = 0;
   // Chooses the first upstream below its load limit (the baseline of
   // comparisons).
-  bool blind = false;
+  bool first_available = false;
   // An upstream is a straggler if its event gap exceeds the median one's by
   // this factor. A straggler gets work only when no other upstream can take
   // it. 0: detection is off.
@@ -185,7 +185,7 @@
   int min_straggler_samples = 8;
   // An engine decodes slowly if its decode pace exceeds a fast engine's by this
   // factor; 0: detection is off. A concurrent prefill makes a long generation
-  // on a slow engine miss its token gap target. A slow engine gets long
+  // on a slow engine miss its event gap target. A slow engine gets long
   // generations once the others are busier by slow_decode_cost, in shares of
   // slots.
   double slow_decode_factor = 1.15;
@@ -197,13 +197,13 @@
 };
 
 // Placement input for one request.
-struct PlacementAsk {
+struct PlacementRequest {
   absl::string_view service;
   uint64_t affinity = 0;      // Hash of the shared prompt prefix; 0: none.
   int64_t shared_tokens = 0;  // Tokens of the shared prompt prefix.
   absl::string_view data_centre;
-  absl::Span<const std::string> avoid;  // Ids of upstreams already tried.
-  double most_load = 1.0;  // Upstreams with this load per slot are busy.
+  absl::Span<const std::string> tried_ids;  // Ids of upstreams already tried.
+  double max_load = 1.0;  // Upstreams with this load per slot are busy.
   // Not 0: only the upstream selected by this hash may take the request, since
   // it holds the state of earlier attempts.
   uint64_t pinned = 0;
@@ -214,12 +214,13 @@
 
 // Smoothed demand on the engines of one service.
 struct DecodeDemand {
-  double in_flight = 0;  // Long generations in flight.
-  double pressure = 0;   // Share of time in which long prompts had to wait.
-  // Longest recent token gap, in shares of its target, as of `recent_gap_at`.
+  double generations_in_flight = 0;  // Long generations in flight.
+  // Share of time in which long prompts had to wait.
+  double prefill_wait_share = 0;
+  // Longest recent event gap, in shares of its target, as of `recent_gap_at`.
   double recent_gap_share = 0;
   TimePoint recent_gap_at{};
-  bool gaps_near_target = false;  // Recent token gaps are close to the target.
+  bool gaps_near_target = false;  // Recent event gaps are close to the target.
 };
 
 // Returns the load of the `decode_engines` engines of `service` reserved for
@@ -227,21 +228,21 @@
 // receive about the same reports. An estimate from an entry's own requests
 // times the number of entries is off by a third, and entries that disagree on
 // the number of reserved engines undo each other's placement.
-double DecodeLoad(absl::Span<const UpstreamBoard> upstreams,
+double DecodeLoad(absl::Span<const UpstreamState> upstreams,
                   absl::string_view service, int decode_engines, TimePoint now,
                   const PlacementPolicy& policy);
 
-// Records a token gap of a long generation; `gap_share`: in shares of its
+// Records an event gap of a long generation; `gap_share`: in shares of its
 // target.
-void NotePause(double gap_share, TimePoint now, const PlacementPolicy& policy,
-               DecodeDemand* demand);
+void RecordEventGapShare(double gap_share, TimePoint now,
+                         const PlacementPolicy& policy, DecodeDemand* demand);
 
 // Returns how many of `engines` engines to reserve for long generations: a
-// sixth to a half of them, at least a third while token gaps are near their
-// target, and none if there are fewer than split_from. `current`: the number so
-// far.
-int DecodeEngines(const DecodeDemand& demand, int current, int slots,
-                  int engines, const PlacementPolicy& policy);
+// sixth to a half of them, at least a third while event gaps are near their
+// target, and none if there are fewer than min_engines_to_split. `current`: the
+// number so far.
+int ComputeDecodeEngines(const DecodeDemand& demand, int current, int slots,
+                         int engines, const PlacementPolicy& policy);
 
 // Returns the number of this process's requests at an engine of `slots` slots
 // from which the engine gets no more long generations. `serving`: number of
@@ -249,96 +250,100 @@
 int OwnGenerationLimit(int slots, int serving, const PlacementPolicy& policy);
 // Returns whether `u` may get another long generation, judged by
 // OwnGenerationLimit and the last load report of `u`.
-bool TakesGeneration(const UpstreamBoard& u, int slots, int serving,
-                     TimePoint now, const PlacementPolicy& policy);
+bool AcceptsGeneration(const UpstreamState& u, int slots, int serving,
+                       TimePoint now, const PlacementPolicy& policy);
 
 // Returns the work shape of a request by its token counts (0: unknown).
-WorkShape ShapeOf(int64_t prompt_tokens, int64_t output_tokens,
-                  const PlacementPolicy& policy);
+WorkShape ClassifyWork(int64_t prompt_tokens, int64_t output_tokens,
+                       const PlacementPolicy& policy);
 
 // Ranks the upstreams of each service, identically in every process.
-void RankUpstreams(absl::Span<UpstreamBoard> upstreams);
+void RankUpstreams(absl::Span<UpstreamState> upstreams);
 
 // Returns the number of ranked upstreams of `service`.
-int RankedUpstreams(absl::Span<const UpstreamBoard> upstreams,
-                    absl::string_view service);
+int CountRankedUpstreams(absl::Span<const UpstreamState> upstreams,
+                         absl::string_view service);
 
 // Returns the estimated number of requests running or waiting at `u`.
-double EstimatedLoad(const UpstreamBoard& u, TimePoint now,
+double EstimatedLoad(const UpstreamState& u, TimePoint now,
                      const PlacementPolicy& policy);
 
 // Returns whether `u` may get new work at all.
-bool Usable(const UpstreamBoard& u, TimePoint now,
+bool Usable(const UpstreamState& u, TimePoint now,
             const PlacementPolicy& policy);
 
 // Returns the index of the upstream for `request`, or nullopt when no upstream
 // may take it. Ejected or silent upstreams are used only when no other is left,
 // in the order of their ends of ejection. `draw`: a random number in [0, 1).
-std::optional<size_t> Place(absl::Span<const UpstreamBoard> upstreams,
-                            const PlacementAsk& request, TimePoint now,
-                            double draw, const PlacementPolicy& policy);
+std::optional<size_t> ChooseUpstream(absl::Span<const UpstreamState> upstreams,
+                                     const PlacementRequest& request,
+                                     TimePoint now, double draw,
+                                     const PlacementPolicy& policy);
 
 // Upstreams of a service by the reason why they don't take a request now. Each
 // upstream is counted once.
-struct NoPlaceCounts {
-  int upstreams = 0;  // All that are listed and not draining.
-  int unusable = 0;   // Tried, ejected, silent, terminated or unreachable.
-  int full = 0;       // This process used up its requests or connections.
-  int resting = 0;    // The upstream requested backoff.
-  int limited = 0;    // The rate limit gives this process no send slot now.
-  int loaded = 0;     // The estimated load is at the limit.
-  int reading = 0;    // Prefills of this process are at the limit.
-  int free = 0;       // Has room, but is no preferred engine of the prefix.
+struct AvailabilityCounts {
+  int upstreams = 0;     // All that are listed and not draining.
+  int unusable = 0;      // Tried, ejected, silent, terminated or unreachable.
+  int at_own_limit = 0;  // This process used up its requests or connections.
+  int in_backoff = 0;    // The upstream requested backoff.
+  int rate_limited = 0;  // This process has no open send slot now.
+  int loaded = 0;        // The estimated load is at the limit.
+  int prefill_limited = 0;  // Prefills of this process are at the limit.
+  int free = 0;  // Has room, but is no preferred engine of the prefix.
 };
-NoPlaceCounts CountNoPlace(absl::Span<const UpstreamBoard> upstreams,
-                           const PlacementAsk& request, TimePoint now,
-                           const PlacementPolicy& policy);
+AvailabilityCounts CountAvailability(absl::Span<const UpstreamState> upstreams,
+                                     const PlacementRequest& request,
+                                     TimePoint now,
+                                     const PlacementPolicy& policy);
 
 // Returns the time until the first upstream of `service` ends its requested
 // backoff. Zero if a listed upstream that is not draining requests none.
-Duration RestLeft(absl::Span<const UpstreamBoard> upstreams,
-                  absl::string_view service, TimePoint now);
+Duration RemainingBackoff(absl::Span<const UpstreamState> upstreams,
+                          absl::string_view service, TimePoint now);
 
 // Returns the first preferred engine of a prefix at `service`, not counting the
 // engine `excluded_id`, or nullopt.
-std::optional<size_t> FirstHome(absl::Span<const UpstreamBoard> upstreams,
-                                absl::string_view service, uint64_t prefix_hash,
-                                int decode_engines,
-                                absl::string_view excluded_id, TimePoint now,
-                                const PlacementPolicy& policy);
+std::optional<size_t> PreferredEngine(absl::Span<const UpstreamState> upstreams,
+                                      absl::string_view service,
+                                      uint64_t prefix_hash, int decode_engines,
+                                      absl::string_view excluded_id,
+                                      TimePoint now,
+                                      const PlacementPolicy& policy);
 
 // Returns whether `request.service` has an upstream that is not draining and
 // was not tried for this request.
-bool AnyLeft(absl::Span<const UpstreamBoard> upstreams,
-             const PlacementAsk& request);
+bool HasUntriedUpstream(absl::Span<const UpstreamState> upstreams,
+                        const PlacementRequest& request);
 
 // Records the gap between two events of a stream at `u`.
-void NoteEventGap(UpstreamBoard& u, Duration gap);
+void RecordEventGap(UpstreamState& u, Duration gap);
 // Marks the stragglers of each service.
-void MarkStragglers(absl::Span<UpstreamBoard> upstreams,
+void MarkStragglers(absl::Span<UpstreamState> upstreams,
                     const PlacementPolicy& policy);
 
 // Records the mean gap of a few consecutive events of a long generation at `u`.
-void NotePace(UpstreamBoard& u, Duration gap);
+void RecordDecodePace(UpstreamState& u, Duration gap);
 // Marks the engines of each service that decode slowly.
-void MarkSlow(absl::Span<UpstreamBoard> upstreams,
-              const PlacementPolicy& policy);
+void MarkSlowDecoders(absl::Span<UpstreamState> upstreams,
+                      const PlacementPolicy& policy);
 
 // Records a request at `u` that succeeded.
-void NoteSuccess(UpstreamBoard& u, TimePoint now);
+void RecordSuccess(UpstreamState& u, TimePoint now);
 // Records a request at `u` that failed. `connection`: the connection was
 // refused or the answer broke off. Only such failures eject the upstream.
-void NoteFailure(UpstreamBoard& u, TimePoint now, bool connection,
-                 const PlacementPolicy& policy);
+void RecordFailure(UpstreamState& u, TimePoint now, bool connection,
+                   const PlacementPolicy& policy);
 // Records a load report of `u`.
-void NoteReport(UpstreamBoard& u, int running, int waiting, TimePoint now);
+void RecordLoadReport(UpstreamState& u, int running, int waiting,
+                      TimePoint now);
 // Records that the first event of a long prompt came from `u` after `took`.
 // `target`: latency target of the request.
-void NoteFirstEvent(UpstreamBoard& u, Duration took, Duration target,
-                    const PlacementPolicy& policy);
+void RecordFirstEvent(UpstreamState& u, Duration took, Duration target,
+                      const PlacementPolicy& policy);
 // Records that a prompt of `tokens` tokens was sent to `u`.
-void NotePrefill(UpstreamBoard& u, double tokens, TimePoint now,
-                 const PlacementPolicy& policy);
+void RecordPrefillSent(UpstreamState& u, double tokens, TimePoint now,
+                       const PlacementPolicy& policy);
 
 }  // namespace medlarwalk
 
--- a/src/policy/quarantine.cc
+++ b/src/policy/quarantine.cc
@@ -263,7 +263,8 @@
   if (any_expired) UpdateQuarantine();
 }
 
-Duration Quarantine::RefusedFor(RequestPrint fingerprint, TimePoint now) const {
+Duration Quarantine::RemainingQuarantine(RequestPrint fingerprint,
+                                         TimePoint now) const {
   auto it = entries_.find(fingerprint);
   if (it == entries_.end()) return Duration::zero();
   return std::max<Duration>(Duration::zero(), LastCrashAt(it->second.record) +
--- a/src/policy/quarantine.h
+++ b/src/policy/quarantine.h
@@ -105,7 +105,7 @@
     return quarantined_.count(fingerprint) > 0;
   }
   // Returns the time from `now` until the request's record expires.
-  Duration RefusedFor(RequestPrint fingerprint, TimePoint now) const;
+  Duration RemainingQuarantine(RequestPrint fingerprint, TimePoint now) const;
   // Grows whenever a request enters or leaves the quarantine.
   uint64_t verdicts() const { return quarantine_changes_; }
   // Returns the number of quarantined requests.
--- a/src/policy/reading_gate.h
+++ b/src/policy/reading_gate.h
@@ -18,11 +18,11 @@
 namespace medlarwalk {
 
 // Parameters of the prefill limit.
-struct ReadingGatePolicy {
-  double start = 16;  // Initial limit.
+struct PrefillLimiterPolicy {
+  double initial_limit = 16;  // Initial limit.
   // Lower bound of the limit: an entry that sends nothing learns nothing.
-  double least = 2;
-  double most = 512;  // Upper bound of the limit.
+  double min_limit = 2;
+  double max_limit = 512;  // Upper bound of the limit.
   // A first event is late if it took more than this share of its latency
   // target. An engine that always has a prompt to prefill adds a chunk of it to
   // every step: tokens then take ten times as long, and streams reach their
@@ -40,15 +40,15 @@
 
 // Adaptive limit of concurrent prefills of one service. Thread safety: loop
 // thread only.
-class ReadingGate {
+class PrefillLimiter {
  public:
-  explicit ReadingGate(const ReadingGatePolicy& policy)
-      : policy_(policy), limit_(policy.start) {}
+  explicit PrefillLimiter(const PrefillLimiterPolicy& policy)
+      : policy_(policy), limit_(policy.initial_limit) {}
 
   // Returns whether a prompt of `tier` may be sent. Less urgent prompts in
   // flight do not count against the limit, so that they never block a more
   // urgent one.
-  bool open(Tier tier) const {
+  bool MaySend(Tier tier) const {
     int n = 0;
     for (const auto& [t, count] : in_flight_) {
       if (t <= tier) n += count;
@@ -60,28 +60,28 @@
     return n < static_cast<int>(tier_limit);
   }
   // Records that a prompt of `tier` was sent.
-  void Sent(Tier tier) { ++in_flight_[tier]; }
+  void RecordSent(Tier tier) { ++in_flight_[tier]; }
   // Records that a prefill of `tier` or its request ended.
-  void Ended(Tier tier) { --in_flight_[tier]; }
+  void RecordPrefillEnd(Tier tier) { --in_flight_[tier]; }
   // Records a first event that came `took` after its prompt was sent.
-  void NoteFirstEvent(Duration took, Duration target) {
+  void RecordFirstEvent(Duration took, Duration target) {
     double share = ToSeconds(took) / std::max(1e-3, ToSeconds(target));
     if (share > policy_.late_share) {
-      limit_ = std::max(policy_.least, limit_ * policy_.backoff_factor);
-    } else if (under_way() + 1 >= static_cast<int>(limit_)) {
-      limit_ = std::min(policy_.most, limit_ + policy_.limit_step);
+      limit_ = std::max(policy_.min_limit, limit_ * policy_.backoff_factor);
+    } else if (in_flight() + 1 >= static_cast<int>(limit_)) {
+      limit_ = std::min(policy_.max_limit, limit_ + policy_.limit_step);
     }
   }
   double limit() const { return limit_; }
   // Returns the number of prompts in flight.
-  int under_way() const {
+  int in_flight() const {
     int n = 0;
     for (const auto& [t, count] : in_flight_) n += count;
     return n;
   }
 
  private:
-  ReadingGatePolicy policy_;
+  PrefillLimiterPolicy policy_;
   double limit_;
   std::map<Tier, int> in_flight_;
 };
--- a/src/policy/retry_budget.h
+++ b/src/policy/retry_budget.h
@@ -18,7 +18,7 @@
 
 // Share of the allowance that processes hand out. Their windows are not
 // aligned, so handing out all of it could exceed the allowance in some window.
-inline constexpr double kBudgetUse = 0.6;
+inline constexpr double kUsableAllowanceShare = 0.6;
 
 // Token bucket of one service. Thread safety: loop thread only.
 class RetryBudget {
@@ -26,14 +26,16 @@
   explicit RetryBudget(TimePoint now) : refilled_at_(now) {}
 
   // Records a first attempt.
-  void NoteRequest(const RetryAllowance& a) { tokens_ += a.ratio * kBudgetUse; }
+  void RecordFirstAttempt(const RetryAllowance& a) {
+    tokens_ += a.ratio * kUsableAllowanceShare;
+  }
   // Consumes one retry. Returns false if none is left. `serving`: number of
   // processes that share the allowance.
-  bool Take(const RetryAllowance& a, int serving, TimePoint now) {
+  bool TryConsume(const RetryAllowance& a, int serving, TimePoint now) {
     // Half of the slack may be spent at once; the same amount refills per
     // window.
-    double capacity =
-        std::max(1.0, a.slack * kBudgetUse / 2 / std::max(1, serving));
+    double capacity = std::max(
+        1.0, a.slack * kUsableAllowanceShare / 2 / std::max(1, serving));
     if (!initialized_) {
       tokens_ = capacity;
       initialized_ = true;
--- a/src/policy/routing_config.h
+++ b/src/policy/routing_config.h
@@ -35,9 +35,9 @@
   std::string host;
   std::string path_prefix;  // Begins and ends with a slash.
   RequestKind kind = RequestKind::kOnce;
-  Duration timeout{};         // Until the final answer.
-  Duration latency_target{};  // Streams: until the first event.
-  Duration pause_target{};    // Streams: longest gap between events.
+  Duration timeout{};           // Until the final answer.
+  Duration latency_target{};    // Streams: until the first event.
+  Duration event_gap_target{};  // Streams: longest gap between events.
   Tier tier = 0;
   std::vector<WeightedService> services;
   int max_attempts = 1;    // Sends to upstreams per caller attempt.
--- a/src/policy/tier_guard.cc
+++ b/src/policy/tier_guard.cc
@@ -5,11 +5,12 @@
 
 namespace medlarwalk {
 
-double TierGuard::CurrentShare(const RejectedShare& s, TimePoint now) const {
+double TierAdmission::CurrentShare(const RejectedShare& s,
+                                   TimePoint now) const {
   return s.value * std::exp(-ToSeconds(now - s.at) / policy_.decay_s);
 }
 
-void TierGuard::RecordOutcome(Tier tier, bool rejected, TimePoint now) {
+void TierAdmission::RecordOutcome(Tier tier, bool rejected, TimePoint now) {
   RejectedShare& s = shares_[tier];
   double before = CurrentShare(s, now);
   double event = rejected ? 1 : 0;
@@ -18,7 +19,7 @@
   s.at = now;
 }
 
-bool TierGuard::TurningAway(TimePoint now, Tier* tier) const {
+bool TierAdmission::MostUrgentRejectedTier(TimePoint now, Tier* tier) const {
   for (const auto& [t, s] : shares_) {
     if (CurrentShare(s, now) < policy_.min_rejected_share) continue;
     *tier = t;
@@ -27,9 +28,9 @@
   return false;
 }
 
-bool TierGuard::Admits(Tier tier, TimePoint now) const {
+bool TierAdmission::Admits(Tier tier, TimePoint now) const {
   Tier most_urgent_rejected;
-  return !TurningAway(now, &most_urgent_rejected) ||
+  return !MostUrgentRejectedTier(now, &most_urgent_rejected) ||
          tier <= most_urgent_rejected;
 }
 
--- a/src/policy/tier_guard.h
+++ b/src/policy/tier_guard.h
@@ -16,7 +16,7 @@
 namespace medlarwalk {
 
 // Parameters of admission by tier.
-struct TierGuardPolicy {
+struct TierAdmissionPolicy {
   // A tier counts as rejected while at least this share of its requests finds
   // no slot. A single rejection blocks nobody for long.
   double min_rejected_share = 0.02;
@@ -31,21 +31,23 @@
 };
 
 // Admission by tier at one service. Thread safety: loop thread only.
-class TierGuard {
+class TierAdmission {
  public:
-  explicit TierGuard(const TierGuardPolicy& policy) : policy_(policy) {}
+  explicit TierAdmission(const TierAdmissionPolicy& policy) : policy_(policy) {}
 
   // Records that a request of `tier` got a slot.
-  void NotePlace(Tier tier, TimePoint now) { RecordOutcome(tier, false, now); }
+  void RecordDispatch(Tier tier, TimePoint now) {
+    RecordOutcome(tier, false, now);
+  }
   // Records that a request of `tier` was rejected for lack of a slot.
-  void NoteTurnedAway(Tier tier, TimePoint now) {
+  void RecordRejection(Tier tier, TimePoint now) {
     RecordOutcome(tier, true, now);
   }
   // Returns whether a request of `tier` may start.
   bool Admits(Tier tier, TimePoint now) const;
   // Returns whether any tier counts as rejected, and sets `*tier` to the most
   // urgent one.
-  bool TurningAway(TimePoint now, Tier* tier) const;
+  bool MostUrgentRejectedTier(TimePoint now, Tier* tier) const;
 
  private:
   struct RejectedShare {
@@ -56,7 +58,7 @@
   // Returns the decayed share at `now`.
   double CurrentShare(const RejectedShare& s, TimePoint now) const;
 
-  TierGuardPolicy policy_;
+  TierAdmissionPolicy policy_;
   std::map<Tier, RejectedShare> shares_;
 };
 
--- a/src/policy/upstream_list.cc
+++ b/src/policy/upstream_list.cc
@@ -18,8 +18,8 @@
        {&u.id, &u.service, &u.address.ip, &u.data_centre}) {
     absl::StrAppend(&text, s->size(), ":", *s);
   }
-  absl::StrAppend(&text, u.address.port, ",", u.leaving, ",", u.slots, ",",
-                  u.born);
+  absl::StrAppend(&text, u.address.port, ",", u.draining, ",", u.slots, ",",
+                  u.started_unix_ms);
   return StableHash(text);
 }
 
@@ -32,9 +32,10 @@
 }
 
 bool SameInfo(const UpstreamInfo& a, const UpstreamInfo& b) {
-  return a.id == b.id && a.born == b.born && a.service == b.service &&
-         a.address == b.address && a.data_centre == b.data_centre &&
-         a.leaving == b.leaving && a.slots == b.slots;
+  return a.id == b.id && a.started_unix_ms == b.started_unix_ms &&
+         a.service == b.service && a.address == b.address &&
+         a.data_centre == b.data_centre && a.draining == b.draining &&
+         a.slots == b.slots;
 }
 
 }  // namespace
@@ -62,7 +63,7 @@
     t.sum -= it->second.hash;
     --t.entry_count;
   };
-  for (const std::string& id : c.gone) {
+  for (const std::string& id : c.removed_ids) {
     if (seen.insert(id).second) drop(id);
   }
   for (const UpstreamInfo& u : c.changed) {
@@ -77,7 +78,7 @@
 }
 
 void UpstreamList::Commit(const ListChange& c, Digest digest) {
-  for (const std::string& id : c.gone) upstreams_.erase(id);
+  for (const std::string& id : c.removed_ids) upstreams_.erase(id);
   for (const UpstreamInfo& u : c.changed) {
     upstreams_[u.id] = Entry{u, HashOf(u)};
   }
@@ -89,12 +90,13 @@
   std::map<std::string, UpstreamInfo> fresh;
   for (UpstreamInfo& u : full_list) {
     auto [it, added] = fresh.try_emplace(u.id, u);
-    if (!added && u.born >= it->second.born) it->second = std::move(u);
+    if (!added && u.started_unix_ms >= it->second.started_unix_ms)
+      it->second = std::move(u);
   }
   ListChange c;
   c.from = version_;
   for (const auto& [id, e] : upstreams_) {
-    if (!fresh.count(id)) c.gone.push_back(id);
+    if (!fresh.count(id)) c.removed_ids.push_back(id);
   }
   for (auto& [id, u] : fresh) {
     const UpstreamInfo* known = Find(id);
@@ -110,7 +112,8 @@
   if (change.from == 0) {
     UpstreamList whole;
     whole.Replace(change.changed);
-    if (whole.version() != change.to || !change.gone.empty()) return false;
+    if (whole.version() != change.to || !change.removed_ids.empty())
+      return false;
     *this = std::move(whole);
     return true;
   }
@@ -144,7 +147,7 @@
   }
   Step s;
   s.from = change.from;
-  s.ids = change.gone;
+  s.ids = change.removed_ids;
   for (const UpstreamInfo& u : change.changed) s.ids.push_back(u.id);
   step_entries_ += s.ids.size();
   steps_.push_back(std::move(s));
@@ -164,7 +167,7 @@
   return it == steps_.rend() ? steps_.end() : std::prev(it.base());
 }
 
-ListChange ListHistory::Since(int64_t held_version) const {
+ListChange ListHistory::ChangeSince(int64_t held_version) const {
   ListChange c;
   c.to = version();
   auto step = FindStepFrom(held_version);
@@ -182,16 +185,16 @@
     if (u) {
       c.changed.push_back(*u);
     } else {
-      c.gone.emplace_back(id);
+      c.removed_ids.emplace_back(id);
     }
   }
   return c;
 }
 
-Document ListHistory::EncodedSince(int64_t held_version) {
-  if (!Knows(held_version)) held_version = 0;
+Document ListHistory::EncodedChangeSince(int64_t held_version) {
+  if (!HasChangesSince(held_version)) held_version = 0;
   Document& d = encoded_[held_version];
-  if (!d) d = encode_(Since(held_version));
+  if (!d) d = encode_(ChangeSince(held_version));
   return d;
 }
 
--- a/src/policy/upstream_list.h
+++ b/src/policy/upstream_list.h
@@ -29,19 +29,20 @@
 
 // One running incarnation of an upstream.
 struct UpstreamInfo {
-  std::string id;    // Usually new at each start.
-  int64_t born = 0;  // Start time, Unix milliseconds; 0: unknown.
+  std::string id;               // Usually new at each start.
+  int64_t started_unix_ms = 0;  // Start time, Unix milliseconds; 0: unknown.
   std::string service;
   Endpoint address;
   std::string data_centre;
-  bool leaving = false;  // Draining: takes no new requests.
-  int slots = 1;         // Requests that it runs at once.
+  bool draining = false;  // Takes no new requests.
+  int slots = 1;          // Requests that it runs at once.
 };
 
 // Returns whether `fresh` is a later start of the upstream that was known as
 // `known`. A restarted upstream has lost the cache and the requests of `known`.
-inline bool StartedAgain(const UpstreamInfo& known, const UpstreamInfo& fresh) {
-  if (known.born && fresh.born) return fresh.born > known.born;
+inline bool HasRestarted(const UpstreamInfo& known, const UpstreamInfo& fresh) {
+  if (known.started_unix_ms && fresh.started_unix_ms)
+    return fresh.started_unix_ms > known.started_unix_ms;
   return !(known.address == fresh.address);
 }
 
@@ -49,9 +50,9 @@
 struct ListChange {
   // Version of the base list; 0: none, `changed` is the whole list.
   int64_t from = 0;
-  int64_t to = 0;                     // Version of the resulting list.
-  std::vector<UpstreamInfo> changed;  // Changed and added upstreams.
-  std::vector<std::string> gone;      // Ids of removed upstreams.
+  int64_t to = 0;                        // Version of the resulting list.
+  std::vector<UpstreamInfo> changed;     // Changed and added upstreams.
+  std::vector<std::string> removed_ids;  // Ids of removed upstreams.
 };
 
 // A list of upstreams with unique ids and a version that is a hash of its
@@ -115,15 +116,15 @@
 
   // Returns whether the changes since the version `held_version` are still
   // kept.
-  bool Knows(int64_t held_version) const {
+  bool HasChangesSince(int64_t held_version) const {
     return FindStepFrom(held_version) != steps_.end();
   }
   // Returns the difference from the version `held_version` to the newest list,
   // or the whole list if the changes since then are not kept.
-  ListChange Since(int64_t held_version) const;
-  // Returns Since(held_version) encoded, cached for all holders of that
+  ListChange ChangeSince(int64_t held_version) const;
+  // Returns ChangeSince(held_version) encoded, cached for all holders of that
   // version. Precondition: held_version != version().
-  Document EncodedSince(int64_t held_version);
+  Document EncodedChangeSince(int64_t held_version);
 
  private:
   struct Step {
--- a/src/policy/waiting.cc
+++ b/src/policy/waiting.cc
@@ -14,7 +14,8 @@
 
 // Returns the expected wait of a new request of `tier` if slots keep becoming
 // free at the recent rate; zero if that rate is unknown.
-Duration WaitingRoom::ExpectedWait(const ServiceQueue& queue, Tier tier) const {
+Duration WaitingQueue::ExpectedWait(const ServiceQueue& queue,
+                                    Tier tier) const {
   if (queue.dispatch_rate <= 0) return Duration::zero();
   auto ahead = std::count_if(queue.waiting.begin(), queue.waiting.end(),
                              [&](const auto& w) { return w.tier <= tier; });
@@ -22,18 +23,18 @@
       static_cast<double>(ahead) / queue.dispatch_rate));
 }
 
-absl::Status WaitingRoom::Enter(WaitingRequest w,
-                                std::optional<uint64_t>* shed) {
+absl::Status WaitingQueue::Enqueue(WaitingRequest w,
+                                   std::optional<uint64_t>* shed) {
   ServiceQueue& queue = queues_[w.service];
   std::deque<WaitingRequest>& q = queue.waiting;
   shed->reset();
-  if (!policy_.tiered) w.tier = 0;
-  if (policy_.refuse_unmeetable &&
-      ExpectedWait(queue, w.tier) > w.until - w.since) {
+  if (!policy_.tier_order) w.tier = 0;
+  if (policy_.reject_unmeetable &&
+      ExpectedWait(queue, w.tier) > w.reject_at - w.enqueued_at) {
     return MakeError(ErrorKind::kTargetUnmeetable,
                      "expected wait exceeds the class target");
   }
-  if (q.size() >= policy_.most_waiting) {
+  if (q.size() >= policy_.max_waiting) {
     if (q.back().tier <= w.tier) {
       return MakeError(ErrorKind::kOverloaded, "waiting room full");
     }
@@ -46,7 +47,7 @@
   return absl::OkStatus();
 }
 
-void WaitingRoom::Leave(uint64_t seq) {
+void WaitingQueue::RemoveUnserved(uint64_t seq) {
   for (auto& [service, queue] : queues_) {
     auto it = std::find_if(queue.waiting.begin(), queue.waiting.end(),
                            [&](const auto& w) { return w.seq == seq; });
@@ -56,7 +57,7 @@
   }
 }
 
-void WaitingRoom::Served(uint64_t seq, TimePoint now) {
+void WaitingQueue::RemoveServed(uint64_t seq, TimePoint now) {
   for (auto& [service, queue] : queues_) {
     const WaitingRequest* starving = FirstStarving(queue, now);
     bool found = std::any_of(queue.waiting.begin(), queue.waiting.end(),
@@ -66,10 +67,10 @@
         starving && starving->seq != seq ? queue.dispatches_since_floor + 1 : 0;
     break;
   }
-  Leave(seq);
+  RemoveUnserved(seq);
 }
 
-void WaitingRoom::NotePlace(const std::string& service, TimePoint now) {
+void WaitingQueue::RecordDispatch(const std::string& service, TimePoint now) {
   ServiceQueue& queue = queues_[service];
   if (queue.last_dispatch_at && now > *queue.last_dispatch_at) {
     double rate = 1 / ToSeconds(now - *queue.last_dispatch_at);
@@ -82,23 +83,23 @@
 
 TimePoint StarvesAt(const WaitingRequest& w, const WaitingPolicy& policy) {
   if (policy.starvation_bound <= Duration::zero()) return TimePoint::max();
-  auto share = std::chrono::duration_cast<Duration>((w.until - w.since) *
-                                                    policy.starving_share);
-  return w.since + std::min(policy.starvation_bound, share);
+  auto share = std::chrono::duration_cast<Duration>(
+      (w.reject_at - w.enqueued_at) * policy.starving_share);
+  return w.enqueued_at + std::min(policy.starvation_bound, share);
 }
 
 // Returns the starving request with the earliest deadline, or nullptr.
-const WaitingRequest* WaitingRoom::FirstStarving(const ServiceQueue& queue,
-                                                 TimePoint now) const {
+const WaitingRequest* WaitingQueue::FirstStarving(const ServiceQueue& queue,
+                                                  TimePoint now) const {
   const WaitingRequest* first = nullptr;
   for (const WaitingRequest& w : queue.waiting) {
     if (now < StarvesAt(w, policy_)) continue;
-    if (!first || w.until < first->until) first = &w;
+    if (!first || w.reject_at < first->reject_at) first = &w;
   }
   return first;
 }
 
-std::vector<std::string> WaitingRoom::Services() const {
+std::vector<std::string> WaitingQueue::WaitingServices() const {
   std::vector<std::string> out;
   for (const auto& [service, queue] : queues_) {
     if (!queue.waiting.empty()) out.push_back(service);
@@ -106,14 +107,15 @@
   return out;
 }
 
-std::vector<uint64_t> WaitingRoom::InOrder(const std::string& service,
-                                           TimePoint now) const {
+std::vector<uint64_t> WaitingQueue::ServingOrder(const std::string& service,
+                                                 TimePoint now) const {
   std::vector<uint64_t> out;
   auto it = queues_.find(service);
   if (it == queues_.end()) return out;
   const ServiceQueue& queue = it->second;
   const WaitingRequest* first = FirstStarving(queue, now);
-  if (queue.dispatches_since_floor + 1 < policy_.floor_every) first = nullptr;
+  if (queue.dispatches_since_floor + 1 < policy_.floor_interval)
+    first = nullptr;
   if (first) out.push_back(first->seq);
   for (const WaitingRequest& w : queue.waiting) {
     if (&w != first) out.push_back(w.seq);
@@ -121,17 +123,17 @@
   return out;
 }
 
-std::vector<uint64_t> WaitingRoom::Expired(TimePoint now) const {
+std::vector<uint64_t> WaitingQueue::ExpiredRequests(TimePoint now) const {
   std::vector<uint64_t> out;
   for (const auto& [service, queue] : queues_) {
     for (const WaitingRequest& w : queue.waiting) {
-      if (now >= w.until) out.push_back(w.seq);
+      if (now >= w.reject_at) out.push_back(w.seq);
     }
   }
   return out;
 }
 
-size_t WaitingRoom::size(const std::string& service) const {
+size_t WaitingQueue::size(const std::string& service) const {
   auto it = queues_.find(service);
   return it == queues_.end() ? 0 : it->second.waiting.size();
 }
--- a/src/policy/waiting.h
+++ b/src/policy/waiting.h
@@ -23,30 +23,30 @@
   // overload every served request has waited this long, which leaves the engine
   // less time. A caller that is rejected early has most of its target left for
   // another entry.
-  double most_target_share = 0.1;
+  double max_wait_target_share = 0.1;
   // Maximum number of waiting requests of one service.
-  size_t most_waiting = 256;
+  size_t max_waiting = 256;
   // Serves the most urgent tier first. If false, first come, first served.
-  bool tiered = true;
+  bool tier_order = true;
   // Rejects a request on arrival if the recent rate of dispatches shows that it
   // would not get a slot in time.
-  bool refuse_unmeetable = false;
+  bool reject_unmeetable = false;
   // A request starves once it has waited for starvation_bound or for
   // starving_share of its maximum wait. While any request starves, one slot in
-  // floor_every goes to the starving one with the earliest deadline, regardless
-  // of its tier: higher tiers lose at most 1 / floor_every of the slots to
-  // starving requests. starvation_bound zero: no request starves.
+  // floor_interval goes to the starving one with the earliest deadline,
+  // regardless of its tier: higher tiers lose at most 1 / floor_interval of the
+  // slots to starving requests. starvation_bound zero: no request starves.
   Duration starvation_bound{};
   double starving_share = 0.5;
-  int floor_every = 8;
+  int floor_interval = 8;
 };
 
 // A waiting request.
 struct WaitingRequest {
   uint64_t seq = 0;
   Tier tier = 0;
-  TimePoint since{};  // Start of the wait.
-  TimePoint until{};  // Rejected if still waiting then.
+  TimePoint enqueued_at{};  // Start of the wait.
+  TimePoint reject_at{};    // Rejected if still waiting then.
   std::string service;
 };
 
@@ -54,31 +54,31 @@
 TimePoint StarvesAt(const WaitingRequest& w, const WaitingPolicy& policy);
 
 // The waiting requests, by service. Thread safety: loop thread only.
-class WaitingRoom {
+class WaitingQueue {
  public:
-  explicit WaitingRoom(WaitingPolicy policy) : policy_(policy) {}
+  explicit WaitingQueue(WaitingPolicy policy) : policy_(policy) {}
 
   // Adds `w` to the queue of its service. `*shed` gets the request removed to
   // make room for it, if any. Errors: kOverloaded when the queue is full of
   // requests of the same or a more urgent tier, kTargetUnmeetable.
-  absl::Status Enter(WaitingRequest w, std::optional<uint64_t>* shed);
+  absl::Status Enqueue(WaitingRequest w, std::optional<uint64_t>* shed);
   // Removes a request that got a slot, and counts the slots that go to others
   // while a request starves.
-  void Served(uint64_t seq, TimePoint now);
+  void RemoveServed(uint64_t seq, TimePoint now);
   // Removes a request that got no slot.
-  void Leave(uint64_t seq);
+  void RemoveUnserved(uint64_t seq);
   // Records that a request of `service` got a slot, whether or not it had
   // waited.
-  void NotePlace(const std::string& service, TimePoint now);
+  void RecordDispatch(const std::string& service, TimePoint now);
   // Returns the services that have waiting requests.
-  std::vector<std::string> Services() const;
+  std::vector<std::string> WaitingServices() const;
   // Returns the waiting requests of `service` in serving order: most urgent
   // tier first, then longest wait. A starving request comes first when a slot
   // is due to it.
-  std::vector<uint64_t> InOrder(const std::string& service,
-                                TimePoint now) const;
+  std::vector<uint64_t> ServingOrder(const std::string& service,
+                                     TimePoint now) const;
   // Returns the requests whose maximum wait has passed.
-  std::vector<uint64_t> Expired(TimePoint now) const;
+  std::vector<uint64_t> ExpiredRequests(TimePoint now) const;
   size_t size(const std::string& service) const;
 
  private:
--- a/src/replica.cc
+++ b/src/replica.cc
@@ -248,7 +248,7 @@
 }
 
 void Replica::Propose(int64_t version, Document config, Done done) {
-  config_proposals_.Offer(version, std::move(config), std::move(done));
+  config_proposals_.SendOrHold(version, std::move(config), std::move(done));
 }
 
 void Replica::AppendConfig(int64_t version, Document config, Done done) {
--- a/src/replica.h
+++ b/src/replica.h
@@ -334,7 +334,7 @@
   uint64_t term_start_index_ =
       0;  // Index of the first entry of this leader's term.
   std::vector<Waiter> waiters_;
-  NewestGate config_proposals_;
+  ConflatingSender config_proposals_;
   TimePoint join_sent_at_{};
   size_t next_join_target_ = 0;
   std::vector<Member> join_hints_;  // Members from the last join reply.
--- a/src/serving.cc
+++ b/src/serving.cc
@@ -202,7 +202,7 @@
   LogEvent("list_in_force", {{"version", list_.version()},
                              {"from", c->from},
                              {"changed", c->changed.size()},
-                             {"gone", c->gone.size()},
+                             {"gone", c->removed_ids.size()},
                              {"bytes", r.list->size()},
                              {"age_ms", r.list_age_ms}});
   gateway_.SetUpstreams(list_.All());
--- a/src/upstream_pool.cc
+++ b/src/upstream_pool.cc
@@ -16,17 +16,17 @@
 UpstreamPool::UpstreamPool(const Clock& clock, LinkOpener open)
     : clock_(clock), open_link_(std::move(open)) {}
 
-void UpstreamPool::ResetBoard(UpstreamBoard& b, const UpstreamInfo& fresh) {
+void UpstreamPool::ResetState(UpstreamState& b, const UpstreamInfo& fresh) {
   LogEvent("upstream_restarted", {{"upstream", fresh.id},
                                   {"address", fresh.address.ToString()},
-                                  {"born", fresh.born},
-                                  {"born_before", b.info.born},
+                                  {"born", fresh.started_unix_ms},
+                                  {"born_before", b.info.started_unix_ms},
                                   {"in_flight", b.in_flight}});
-  UpstreamBoard reset;
+  UpstreamState reset;
   reset.info = fresh;
   reset.in_flight = b.in_flight;
-  reset.reading = b.reading;
-  reset.quiet_since = b.quiet_since;
+  reset.prefills_in_flight = b.prefills_in_flight;
+  reset.last_activity_at = b.last_activity_at;
   b = std::move(reset);
   Connections& c = connections_[fresh.id];
   for (const auto& k : c.idle) k->Close();
@@ -36,55 +36,56 @@
 std::vector<std::string> UpstreamPool::Update(
     absl::Span<const UpstreamInfo> listed) {
   std::vector<std::string> restarted;
-  for (UpstreamBoard& b : boards_) b.listed = false;
+  for (UpstreamState& b : upstreams_) b.listed = false;
   for (const UpstreamInfo& u : listed) {
     auto it = index_.find(u.id);
     if (it == index_.end()) {
-      index_[u.id] = boards_.size();
-      UpstreamBoard b;
+      index_[u.id] = upstreams_.size();
+      UpstreamState b;
       b.info = u;
-      boards_.push_back(std::move(b));
+      upstreams_.push_back(std::move(b));
       LogEvent("upstream_added", {{"upstream", u.id},
                                   {"service", u.service},
                                   {"address", u.address.ToString()}});
       continue;
     }
-    UpstreamBoard& b = boards_[it->second];
+    UpstreamState& b = upstreams_[it->second];
     b.listed = true;
     // Ignores an outdated entry: the list lags, and several processes read it.
-    if (u.born && u.born < b.info.born) continue;
-    if (StartedAgain(b.info, u)) {
-      ResetBoard(b, u);
+    if (u.started_unix_ms && u.started_unix_ms < b.info.started_unix_ms)
+      continue;
+    if (HasRestarted(b.info, u)) {
+      ResetState(b, u);
       restarted.push_back(u.id);
       continue;
     }
-    if (u.leaving && !b.info.leaving) {
+    if (u.draining && !b.info.draining) {
       LogEvent("upstream_leaving",
                {{"upstream", u.id}, {"in_flight", b.in_flight}});
     }
     b.info = u;
-    b.info.leaving |= b.said_leaving;
+    b.info.draining |= b.announced_draining;
   }
-  RankUpstreams(absl::MakeSpan(boards_));
+  RankUpstreams(absl::MakeSpan(upstreams_));
   Tick();
   return restarted;
 }
 
-UpstreamBoard* UpstreamPool::Find(const std::string& id) {
+UpstreamState* UpstreamPool::Find(const std::string& id) {
   auto it = index_.find(id);
-  return it == index_.end() ? nullptr : &boards_[it->second];
+  return it == index_.end() ? nullptr : &upstreams_[it->second];
 }
 
 bool UpstreamPool::RecordDraining(const std::string& id) {
-  UpstreamBoard* b = Find(id);
-  if (!b || b->said_leaving) return false;
-  b->said_leaving = true;
-  b->info.leaving = true;
-  RankUpstreams(absl::MakeSpan(boards_));
+  UpstreamState* b = Find(id);
+  if (!b || b->announced_draining) return false;
+  b->announced_draining = true;
+  b->info.draining = true;
+  RankUpstreams(absl::MakeSpan(upstreams_));
   return true;
 }
 
-bool UpstreamPool::AtConnectionLimit(const UpstreamBoard& u, int limit) const {
+bool UpstreamPool::AtConnectionLimit(const UpstreamState& u, int limit) const {
   auto it = connections_.find(u.info.id);
   if (it == connections_.end()) return limit <= 0;
   const Connections& c = it->second;
@@ -95,7 +96,7 @@
 }
 
 std::shared_ptr<UpstreamLink> UpstreamPool::AcquireLink(
-    const UpstreamBoard& u, Duration connect_timeout) {
+    const UpstreamState& u, Duration connect_timeout) {
   Connections& c = connections_[u.info.id];
   ++c.in_use;
   TimePoint now = clock_.Now();
@@ -122,7 +123,7 @@
 }
 
 std::shared_ptr<UpstreamLink> UpstreamPool::OpenProbe(
-    const UpstreamBoard& u, Duration connect_timeout) {
+    const UpstreamState& u, Duration connect_timeout) {
   Connections& c = connections_[u.info.id];
   for (const auto& k : c.idle) {
     if (k->established()) return k;
@@ -141,20 +142,21 @@
     c.idle.erase(keep, c.idle.end());
   }
   bool removed = false;
-  for (size_t i = 0; i < boards_.size();) {
-    UpstreamBoard& b = boards_[i];
+  for (size_t i = 0; i < upstreams_.size();) {
+    UpstreamState& b = upstreams_[i];
     if (b.listed || b.in_flight > 0) {
       ++i;
       continue;
     }
     LogEvent("upstream_gone", {{"upstream", b.info.id}});
     connections_.erase(b.info.id);
-    boards_.erase(boards_.begin() + static_cast<long>(i));
+    upstreams_.erase(upstreams_.begin() + static_cast<long>(i));
     removed = true;
   }
   if (!removed) return;
   index_.clear();
-  for (size_t i = 0; i < boards_.size(); ++i) index_[boards_[i].info.id] = i;
+  for (size_t i = 0; i < upstreams_.size(); ++i)
+    index_[upstreams_[i].info.id] = i;
 }
 
 }  // namespace medlarwalk
--- a/src/upstream_pool.h
+++ b/src/upstream_pool.h
@@ -16,7 +16,7 @@
 
 namespace medlarwalk {
 
-// Boards and pooled links of all known upstreams. Thread safety: loop thread
+// State and pooled links of all known upstreams. Thread safety: loop thread
 // only.
 class UpstreamPool {
  public:
@@ -27,10 +27,10 @@
   // upstreams, for which all earlier state is invalid.
   std::vector<std::string> Update(absl::Span<const UpstreamInfo> listed);
 
-  std::vector<UpstreamBoard>& boards() { return boards_; }
-  const std::vector<UpstreamBoard>& boards() const { return boards_; }
-  // Returns the board of upstream `id`, or nullptr.
-  UpstreamBoard* Find(const std::string& id);
+  std::vector<UpstreamState>& upstreams() { return upstreams_; }
+  const std::vector<UpstreamState>& upstreams() const { return upstreams_; }
+  // Returns the state of upstream `id`, or nullptr.
+  UpstreamState* Find(const std::string& id);
 
   // Records that upstream `id` announced that it is draining. From now on it
   // gets no new requests, even if the list does not show it as draining.
@@ -39,10 +39,10 @@
 
   // Returns a link for one call, a pooled one or a new one. A new connection
   // must be established within `connect_timeout`.
-  std::shared_ptr<UpstreamLink> AcquireLink(const UpstreamBoard& u,
+  std::shared_ptr<UpstreamLink> AcquireLink(const UpstreamState& u,
                                             Duration connect_timeout);
   // Returns whether AcquireLink would have to open a connection beyond `limit`.
-  bool AtConnectionLimit(const UpstreamBoard& u, int limit) const;
+  bool AtConnectionLimit(const UpstreamState& u, int limit) const;
   // Returns a link to the pool after its call, or closes it if it cannot be
   // reused.
   void ReleaseLink(const std::string& upstream_id,
@@ -50,7 +50,7 @@
 
   // Returns a pooled, unused link to `u` that shows whether `u` still listens:
   // an established one, or a new one that is added to the pool.
-  std::shared_ptr<UpstreamLink> OpenProbe(const UpstreamBoard& u,
+  std::shared_ptr<UpstreamLink> OpenProbe(const UpstreamState& u,
                                           Duration connect_timeout);
 
   // Closes links that were idle for too long and removes unlisted upstreams
@@ -60,7 +60,7 @@
  private:
   // Resets the state of the restarted upstream `b`, but keeps the counts of its
   // requests in flight.
-  void ResetBoard(UpstreamBoard& b, const UpstreamInfo& fresh);
+  void ResetState(UpstreamState& b, const UpstreamInfo& fresh);
   struct Connections {
     std::vector<std::shared_ptr<UpstreamLink>> idle;
     int in_use = 0;
@@ -68,7 +68,7 @@
 
   const Clock& clock_;
   LinkOpener open_link_;
-  std::vector<UpstreamBoard> boards_;
+  std::vector<UpstreamState> upstreams_;
   std::unordered_map<std::string, size_t> index_;
   std::unordered_map<std::string, Connections> connections_;
 };
--- a/test/policy/part_memory_test.cc
+++ b/test/policy/part_memory_test.cc
@@ -22,32 +22,32 @@
 // subject if it is known, else that of the document. The last part of a request
 // is never shared.
 TEST(part_memory, FindsTheLongestLeadingRun) {
-  PartMemory m(std::chrono::seconds(10), 100);
-  STRCMP_EQUAL("", m.Holder(Parts(1, 2, 3), kNow).engine.c_str());
-  m.Note(Parts(1, 2, 3), "i-a", kNow);
-  STRCMP_EQUAL("i-a", m.Holder(Parts(1, 2, 9), kNow).engine.c_str());
-  LONGS_EQUAL(2, m.Holder(Parts(1, 2, 9), kNow).parts);
-  LONGS_EQUAL(1, m.Holder(Parts(1, 8, 9), kNow).parts);
-  m.Note(Parts(1, 4, 5), "i-b", kNow);
-  STRCMP_EQUAL("i-a", m.Holder(Parts(1, 2, 9), kNow).engine.c_str());
-  STRCMP_EQUAL("i-b", m.Holder(Parts(1, 7, 9), kNow).engine.c_str());
-  STRCMP_EQUAL("", m.Holder(Parts(8, 3, 9), kNow).engine.c_str());
+  PrefixCacheIndex m(std::chrono::seconds(10), 100);
+  STRCMP_EQUAL("", m.FindLongestPrefix(Parts(1, 2, 3), kNow).engine.c_str());
+  m.RecordPrefilled(Parts(1, 2, 3), "i-a", kNow);
+  STRCMP_EQUAL("i-a", m.FindLongestPrefix(Parts(1, 2, 9), kNow).engine.c_str());
+  LONGS_EQUAL(2, m.FindLongestPrefix(Parts(1, 2, 9), kNow).parts);
+  LONGS_EQUAL(1, m.FindLongestPrefix(Parts(1, 8, 9), kNow).parts);
+  m.RecordPrefilled(Parts(1, 4, 5), "i-b", kNow);
+  STRCMP_EQUAL("i-a", m.FindLongestPrefix(Parts(1, 2, 9), kNow).engine.c_str());
+  STRCMP_EQUAL("i-b", m.FindLongestPrefix(Parts(1, 7, 9), kNow).engine.c_str());
+  STRCMP_EQUAL("", m.FindLongestPrefix(Parts(8, 3, 9), kNow).engine.c_str());
 }
 
 // Parts that are too old or at a terminated engine are ignored, and the table
 // stays bounded for any input.
 TEST(part_memory, RemovesOldPartsAndStaysBounded) {
-  PartMemory m(std::chrono::seconds(10), 100);
-  m.Note(Parts(1, 2, 3), "i-a", kNow);
+  PrefixCacheIndex m(std::chrono::seconds(10), 100);
+  m.RecordPrefilled(Parts(1, 2, 3), "i-a", kNow);
   STRCMP_EQUAL(
-      "",
-      m.Holder(Parts(1, 2, 3), kNow + std::chrono::seconds(11)).engine.c_str());
-  m.Forget("i-a");
-  STRCMP_EQUAL("", m.Holder(Parts(1, 2, 3), kNow).engine.c_str());
+      "", m.FindLongestPrefix(Parts(1, 2, 3), kNow + std::chrono::seconds(11))
+              .engine.c_str());
+  m.RemoveEngine("i-a");
+  STRCMP_EQUAL("", m.FindLongestPrefix(Parts(1, 2, 3), kNow).engine.c_str());
   for (uint64_t i = 0; i < 1000; ++i) {
-    m.Note(Parts(10 * i, 10 * i + 1, 10 * i + 2), "i-b", kNow);
+    m.RecordPrefilled(Parts(10 * i, 10 * i + 1, 10 * i + 2), "i-b", kNow);
   }
   CHECK_TRUE(m.size() <= 100);
-  m.Tick(kNow + std::chrono::seconds(11));
+  m.RemoveExpired(kNow + std::chrono::seconds(11));
   LONGS_EQUAL(0, m.size());
 }
--- a/test/policy/placement_test.cc
+++ b/test/policy/placement_test.cc
@@ -11,10 +11,10 @@
 
 namespace {
 
-std::vector<UpstreamBoard> Engines(int n) {
-  std::vector<UpstreamBoard> upstreams;
+std::vector<UpstreamState> Engines(int n) {
+  std::vector<UpstreamState> upstreams;
   for (int i = 0; i < n; ++i) {
-    UpstreamBoard b;
+    UpstreamState b;
     b.info.id = absl::StrCat("i-", i);
     b.info.service = "engine";
     b.info.slots = 64;
@@ -27,8 +27,8 @@
 const TimePoint kNow = TimePoint(std::chrono::hours(1));
 const PlacementPolicy kPolicy;
 
-PlacementAsk MakeRequest(WorkShape shape, uint64_t affinity = 0) {
-  PlacementAsk a;
+PlacementRequest MakeRequest(WorkShape shape, uint64_t affinity = 0) {
+  PlacementRequest a;
   a.service = "engine";
   a.shape = shape;
   a.affinity = affinity;
@@ -41,19 +41,19 @@
 
 TEST_GROUP(placement){};
 
-// Failure: long generations exceed their token gap target. Load pattern: long
+// Failure: long generations exceed their event gap target. Load pattern: long
 // prompts and long generations in equal number; a prefill delays every stream
 // on the same engine. Engines are reserved for long generations, and entries
 // choose the same ones without communication.
 TEST(placement, LongGenerationsAndLongPromptsUseSeparateEngines) {
-  std::vector<UpstreamBoard> upstreams = Engines(12);
+  std::vector<UpstreamState> upstreams = Engines(12);
   std::mt19937_64 random(1);
   std::uniform_real_distribution<double> draw(0, 1);
   std::map<size_t, int> decode;
   std::map<size_t, int> prefill;
   for (int i = 0; i < 300; ++i) {
     bool d = i % 3 == 0;
-    auto at = Place(
+    auto at = ChooseUpstream(
         upstreams, MakeRequest(d ? WorkShape::kDecode : WorkShape::kPrefill, i),
         kNow, draw(random), kPolicy);
     CHECK_TRUE(at.has_value());
@@ -67,11 +67,12 @@
 // Engines reserved for long generations are not enforced when they are full and
 // others are idle: no class waits because of the split.
 TEST(placement, FullDecodeEnginesSpillOverToOthers) {
-  std::vector<UpstreamBoard> upstreams = Engines(4);
-  for (UpstreamBoard& b : upstreams) {
+  std::vector<UpstreamState> upstreams = Engines(4);
+  for (UpstreamState& b : upstreams) {
     if (b.rank < 3) b.in_flight = 60;
   }
-  auto at = Place(upstreams, MakeRequest(WorkShape::kDecode), kNow, 0, kPolicy);
+  auto at = ChooseUpstream(upstreams, MakeRequest(WorkShape::kDecode), kNow, 0,
+                           kPolicy);
   LONGS_EQUAL(3, upstreams[*at].rank);
 }
 
@@ -80,21 +81,22 @@
 // while that engine is not clearly busier than the rest, and one substitute
 // while it is ejected.
 TEST(placement, EachSharedPrefixHasOnePreferredEngine) {
-  std::vector<UpstreamBoard> upstreams = Engines(12);
+  std::vector<UpstreamState> upstreams = Engines(12);
   std::mt19937_64 random(2);
   std::uniform_real_distribution<double> draw(0, 1);
   for (uint64_t prefix = 1; prefix <= 100; ++prefix) {
-    auto preferred = Place(upstreams, MakeRequest(WorkShape::kPrefill, prefix),
-                           kNow, 0, kPolicy);
+    auto preferred = ChooseUpstream(
+        upstreams, MakeRequest(WorkShape::kPrefill, prefix), kNow, 0, kPolicy);
     for (int i = 0; i < 5; ++i) {
       upstreams[*preferred].in_flight = 8;
-      auto again = Place(upstreams, MakeRequest(WorkShape::kPrefill, prefix),
+      auto again =
+          ChooseUpstream(upstreams, MakeRequest(WorkShape::kPrefill, prefix),
                          kNow, draw(random), kPolicy);
       LONGS_EQUAL(*preferred, *again);
     }
     upstreams[*preferred].ejected_until = kNow + std::chrono::seconds(1);
-    auto next = Place(upstreams, MakeRequest(WorkShape::kPrefill, prefix), kNow,
-                      0, kPolicy);
+    auto next = ChooseUpstream(
+        upstreams, MakeRequest(WorkShape::kPrefill, prefix), kNow, 0, kPolicy);
     CHECK_TRUE(*next != *preferred);
     upstreams[*preferred].ejected_until = {};
     upstreams[*preferred].in_flight = 0;
@@ -106,12 +108,14 @@
 // prefill. A request whose preferred engines are saturated waits for them
 // instead of going to any engine with room.
 TEST(placement, RequestsWaitForSaturatedPreferredEngines) {
-  std::vector<UpstreamBoard> upstreams = Engines(12);
-  for (size_t i = 0; i < upstreams.size(); i += 2) upstreams[i].reading = 2;
+  std::vector<UpstreamState> upstreams = Engines(12);
+  for (size_t i = 0; i < upstreams.size(); i += 2)
+    upstreams[i].prefills_in_flight = 2;
   std::map<size_t, int> placed;
-  while (auto at = Place(upstreams, MakeRequest(WorkShape::kPrefill, 7), kNow,
-                         0, kPolicy)) {
-    ++upstreams[*at].reading;
+  while (auto at =
+             ChooseUpstream(upstreams, MakeRequest(WorkShape::kPrefill, 7),
+                            kNow, 0, kPolicy)) {
+    ++upstreams[*at].prefills_in_flight;
     ++placed[*at];
   }
   CHECK_TRUE(placed.size() <= 2);
@@ -121,12 +125,12 @@
 // short and long shared prefixes at once. A request with a short shared prefix
 // goes to any engine instead of waiting for its preferred ones.
 TEST(placement, ShortSharedPrefixesGoToAnyEngine) {
-  std::vector<UpstreamBoard> upstreams = Engines(12);
-  PlacementAsk request = MakeRequest(WorkShape::kPrefill, 7);
+  std::vector<UpstreamState> upstreams = Engines(12);
+  PlacementRequest request = MakeRequest(WorkShape::kPrefill, 7);
   request.shared_tokens = 500;
   std::map<size_t, int> placed;
-  while (auto at = Place(upstreams, request, kNow, 0, kPolicy)) {
-    ++upstreams[*at].reading;
+  while (auto at = ChooseUpstream(upstreams, request, kNow, 0, kPolicy)) {
+    ++upstreams[*at].prefills_in_flight;
     ++placed[*at];
   }
   LONGS_EQUAL(12, placed.size());
@@ -135,11 +139,12 @@
 // A hot prefix spreads beyond its preferred engines while other engines have
 // room.
 TEST(placement, HotPrefixSpreadsWhileOtherEnginesHaveRoom) {
-  std::vector<UpstreamBoard> upstreams = Engines(12);
+  std::vector<UpstreamState> upstreams = Engines(12);
   std::map<size_t, int> placed;
-  while (auto at = Place(upstreams, MakeRequest(WorkShape::kPrefill, 7), kNow,
-                         0, kPolicy)) {
-    ++upstreams[*at].reading;
+  while (auto at =
+             ChooseUpstream(upstreams, MakeRequest(WorkShape::kPrefill, 7),
+                            kNow, 0, kPolicy)) {
+    ++upstreams[*at].prefills_in_flight;
     ++placed[*at];
   }
   LONGS_EQUAL(4, placed.size());
@@ -148,14 +153,14 @@
 // The limit of concurrent prefills at an engine follows the latency of first
 // events.
 TEST(placement, PrefillLimitFollowsFirstEventLatency) {
-  UpstreamBoard u = Engines(1)[0];
+  UpstreamState u = Engines(1)[0];
   double start = u.prefill_limit;
   for (int i = 0; i < 10; ++i) {
-    NoteFirstEvent(u, Millis(900), Millis(1000), kPolicy);
+    RecordFirstEvent(u, Millis(900), Millis(1000), kPolicy);
   }
   DOUBLES_EQUAL(1, u.prefill_limit, 0.001);
   for (int i = 0; i < 100; ++i) {
-    NoteFirstEvent(u, Millis(100), Millis(1000), kPolicy);
+    RecordFirstEvent(u, Millis(100), Millis(1000), kPolicy);
   }
   CHECK_TRUE(u.prefill_limit > start);
   CHECK_TRUE(u.prefill_limit <= kPolicy.max_prefill_limit);
@@ -163,36 +168,36 @@
 
 // Draining, unlisted and silent upstreams get no requests while others can.
 TEST(placement, OnlyUsableUpstreamsAreChosen) {
-  std::vector<UpstreamBoard> upstreams = Engines(4);
-  upstreams[0].info.leaving = true;
+  std::vector<UpstreamState> upstreams = Engines(4);
+  upstreams[0].info.draining = true;
   upstreams[1].listed = false;
   upstreams[2].in_flight = 1;
-  upstreams[2].quiet_since = kNow - std::chrono::seconds(2);
+  upstreams[2].last_activity_at = kNow - std::chrono::seconds(2);
   for (double draw : {0.0, 0.3, 0.6, 0.9}) {
-    LONGS_EQUAL(3, *Place(upstreams, MakeRequest(WorkShape::kPrefill), kNow,
-                          draw, kPolicy));
+    LONGS_EQUAL(3, *ChooseUpstream(upstreams, MakeRequest(WorkShape::kPrefill),
+                                   kNow, draw, kPolicy));
   }
-  upstreams[3].full = true;
-  LONGS_EQUAL(
-      2, *Place(upstreams, MakeRequest(WorkShape::kPrefill), kNow, 0, kPolicy));
+  upstreams[3].at_own_limit = true;
+  LONGS_EQUAL(2, *ChooseUpstream(upstreams, MakeRequest(WorkShape::kPrefill),
+                                 kNow, 0, kPolicy));
 }
 
 // A failing upstream is ejected for longer each time and returns at its first
 // success.
 TEST(placement, RepeatedFailuresEjectForLonger) {
-  UpstreamBoard u = Engines(1)[0];
-  NoteFailure(u, kNow, true, kPolicy);
+  UpstreamState u = Engines(1)[0];
+  RecordFailure(u, kNow, true, kPolicy);
   CHECK_TRUE(Usable(u, kNow, kPolicy));
-  NoteFailure(u, kNow, true, kPolicy);
+  RecordFailure(u, kNow, true, kPolicy);
   CHECK_FALSE(Usable(u, kNow, kPolicy));
   Duration first = u.ejected_until - kNow;
-  NoteFailure(u, kNow, true, kPolicy);
+  RecordFailure(u, kNow, true, kPolicy);
   CHECK_TRUE(u.ejected_until - kNow > first);
-  NoteSuccess(u, kNow);
+  RecordSuccess(u, kNow);
   CHECK_TRUE(Usable(u, kNow, kPolicy));
 }
 
-// Failure: long generations exceed their token gap target although engines are
+// Failure: long generations exceed their event gap target although engines are
 // reserved for them. Load pattern: nine entries share nine engines with twenty
 // long generations, about two per entry. An entry that estimates the total
 // demand from its own two reserves two or three engines; the third then gets
@@ -204,41 +209,42 @@
   std::vector<int> decode_engines(9, 2);
   for (int round = 0; round < 50; ++round) {
     for (int entry = 0; entry < 9; ++entry) {
-      std::vector<UpstreamBoard> upstreams = Engines(9);
-      for (UpstreamBoard& b : upstreams) {
+      std::vector<UpstreamState> upstreams = Engines(9);
+      for (UpstreamState& b : upstreams) {
         if (b.rank >= 2) continue;
         b.in_flight = b.in_flight_at_report =
             std::binomial_distribution<int>(10, 1.0 / 9)(random);
-        b.reported = 10;
+        b.reported_load = 10;
         b.reported_at = kNow - Millis(age_ms(random));
       }
       DecodeDemand d;
-      d.in_flight = DecodeLoad(upstreams, "engine", 2, kNow, kPolicy);
+      d.generations_in_flight =
+          DecodeLoad(upstreams, "engine", 2, kNow, kPolicy);
       decode_engines[entry] =
-          DecodeEngines(d, decode_engines[entry], 64, 9, kPolicy);
+          ComputeDecodeEngines(d, decode_engines[entry], 64, 9, kPolicy);
       LONGS_EQUAL(2, decode_engines[entry]);
     }
   }
 }
 
-// Failure: long generations exceed their token gap target on engines with slow
+// Failure: long generations exceed their event gap target on engines with slow
 // prefill. Load pattern: prompts of long generations arrive in bursts of three,
 // and two bursts together block an engine for longer than the target. The
 // number of requests alone asks for too few engines. A third of the engines is
-// reserved while token gaps are near their target.
-TEST(placement, TokenGapsNearTargetReserveMoreEngines) {
+// reserved while event gaps are near their target.
+TEST(placement, EventGapsNearTargetReserveMoreEngines) {
   DecodeDemand d;
-  d.in_flight = 20;
-  NotePause(0.5, kNow, kPolicy, &d);
-  LONGS_EQUAL(2, DecodeEngines(d, 2, 64, 9, kPolicy));
-  NotePause(0.95, kNow, kPolicy, &d);
-  LONGS_EQUAL(3, DecodeEngines(d, 2, 64, 9, kPolicy));
+  d.generations_in_flight = 20;
+  RecordEventGapShare(0.5, kNow, kPolicy, &d);
+  LONGS_EQUAL(2, ComputeDecodeEngines(d, 2, 64, 9, kPolicy));
+  RecordEventGapShare(0.95, kNow, kPolicy, &d);
+  LONGS_EQUAL(3, ComputeDecodeEngines(d, 2, 64, 9, kPolicy));
   // The reservation outlasts one short gap and ends after some seconds of short
   // gaps.
-  NotePause(0.2, kNow + std::chrono::seconds(1), kPolicy, &d);
-  LONGS_EQUAL(3, DecodeEngines(d, 3, 64, 9, kPolicy));
-  NotePause(0.2, kNow + std::chrono::seconds(9), kPolicy, &d);
-  LONGS_EQUAL(2, DecodeEngines(d, 3, 64, 9, kPolicy));
+  RecordEventGapShare(0.2, kNow + std::chrono::seconds(1), kPolicy, &d);
+  LONGS_EQUAL(3, ComputeDecodeEngines(d, 3, 64, 9, kPolicy));
+  RecordEventGapShare(0.2, kNow + std::chrono::seconds(9), kPolicy, &d);
+  LONGS_EQUAL(2, ComputeDecodeEngines(d, 3, 64, 9, kPolicy));
 }
 
 // Failure: an engine preempts requests while less urgent ones keep running.
@@ -254,17 +260,17 @@
   std::uniform_real_distribution<double> draw(0, 1);
   int generation_limit = OwnGenerationLimit(kSlots, kEntries, kPolicy);
   for (int entry = 0; entry < kEntries; ++entry) {
-    std::vector<UpstreamBoard> upstreams = Engines(30);
-    for (UpstreamBoard& b : upstreams) b.info.slots = kSlots;
-    PlacementAsk request;
+    std::vector<UpstreamState> upstreams = Engines(30);
+    for (UpstreamState& b : upstreams) b.info.slots = kSlots;
+    PlacementRequest request;
     request.service = "engine";
     request.shape = WorkShape::kDecode;
     request.decode_engines = 4;
     for (int i = 0; i < 12; ++i) {
-      for (UpstreamBoard& b : upstreams)
-        b.full = b.in_flight >= generation_limit;
+      for (UpstreamState& b : upstreams)
+        b.at_own_limit = b.in_flight >= generation_limit;
       std::optional<size_t> to =
-          Place(upstreams, request, kNow, draw(random), kPolicy);
+          ChooseUpstream(upstreams, request, kNow, draw(random), kPolicy);
       CHECK_TRUE(to.has_value());
       ++upstreams[*to].in_flight;
       ++at[*to];
@@ -282,32 +288,34 @@
   constexpr int kEntries = 24;
   constexpr int kSlots = 64;
   int own_limit = OwnGenerationLimit(kSlots, kEntries, kPolicy);
-  UpstreamBoard u = Engines(1)[0];
+  UpstreamState u = Engines(1)[0];
   u.in_flight = own_limit;
-  CHECK_FALSE(TakesGeneration(u, kSlots, kEntries, kNow, kPolicy));
-  NoteReport(u, 20, 0, kNow - Millis(100));
-  CHECK_TRUE(TakesGeneration(u, kSlots, kEntries, kNow, kPolicy));
-  CHECK_FALSE(TakesGeneration(u, kSlots, kEntries,
-                              kNow + std::chrono::seconds(1), kPolicy));
-  NoteReport(u, 60, 0, kNow - Millis(100));
-  CHECK_FALSE(TakesGeneration(u, kSlots, kEntries, kNow, kPolicy));
-  NoteReport(u, 20, 0, kNow - Millis(100));
-  while (TakesGeneration(u, kSlots, kEntries, kNow, kPolicy)) ++u.in_flight;
+  CHECK_FALSE(AcceptsGeneration(u, kSlots, kEntries, kNow, kPolicy));
+  RecordLoadReport(u, 20, 0, kNow - Millis(100));
+  CHECK_TRUE(AcceptsGeneration(u, kSlots, kEntries, kNow, kPolicy));
+  CHECK_FALSE(AcceptsGeneration(u, kSlots, kEntries,
+                                kNow + std::chrono::seconds(1), kPolicy));
+  RecordLoadReport(u, 60, 0, kNow - Millis(100));
+  CHECK_FALSE(AcceptsGeneration(u, kSlots, kEntries, kNow, kPolicy));
+  RecordLoadReport(u, 20, 0, kNow - Millis(100));
+  while (AcceptsGeneration(u, kSlots, kEntries, kNow, kPolicy)) ++u.in_flight;
   CHECK_TRUE(u.in_flight <= 2 * kSlots / kEntries + 1);
 }
 
 // Failure: new work reaches an engine that is draining or whose agent does not
 // answer, because placement ignores this state.
 TEST(placement, DrainingOrUnreachableUpstreamsGetNoWork) {
-  std::vector<UpstreamBoard> upstreams = Engines(3);
-  upstreams[0].info.leaving = true;
+  std::vector<UpstreamState> upstreams = Engines(3);
+  upstreams[0].info.draining = true;
   upstreams[1].reachable = false;
   for (int i = 0; i < 200; ++i) {
-    CHECK_EQUAL(2u, *Place(upstreams, MakeRequest(WorkShape::kPlain, i), kNow,
-                           i / 200.0, kPolicy));
+    CHECK_EQUAL(
+        2u, *ChooseUpstream(upstreams, MakeRequest(WorkShape::kPlain, i), kNow,
+                            i / 200.0, kPolicy));
   }
-  upstreams[2].info.leaving = true;
-  CHECK_FALSE(Place(upstreams, MakeRequest(WorkShape::kPlain), kNow, 0, kPolicy)
+  upstreams[2].info.draining = true;
+  CHECK_FALSE(ChooseUpstream(upstreams, MakeRequest(WorkShape::kPlain), kNow, 0,
+                             kPolicy)
                   .has_value());
 }
 
@@ -315,48 +323,49 @@
 // Sequence: a burst arrives within the delay of one report. The exact count of
 // own requests takes precedence over the report.
 TEST(placement, OwnRequestsCorrectADelayedLoadReport) {
-  std::vector<UpstreamBoard> upstreams = Engines(3);
-  for (UpstreamBoard& b : upstreams) b.reported_at = kNow - Millis(100);
+  std::vector<UpstreamState> upstreams = Engines(3);
+  for (UpstreamState& b : upstreams) b.reported_at = kNow - Millis(100);
   upstreams[0].in_flight = 9;  // Its load report still shows 0.
-  upstreams[1].reported = 2;
-  upstreams[2].reported = 2;
+  upstreams[1].reported_load = 2;
+  upstreams[2].reported_load = 2;
   for (int i = 0; i < 100; ++i) {
-    CHECK(*Place(upstreams, MakeRequest(WorkShape::kPlain), kNow, i / 100.0,
-                 kPolicy) != 0u);
+    CHECK(*ChooseUpstream(upstreams, MakeRequest(WorkShape::kPlain), kNow,
+                          i / 100.0, kPolicy) != 0u);
   }
 }
 
-// Failure: one slow engine increases the token gaps of every class. Sequence:
+// Failure: one slow engine increases the event gaps of every class. Sequence:
 // the gaps between its events grow, and nothing detects it. The engine is
 // marked as a straggler and avoided while others can serve.
 TEST(placement, AStragglerIsMarkedAndAvoided) {
   PlacementPolicy policy;
   policy.straggler_factor = 2;
-  std::vector<UpstreamBoard> upstreams = Engines(3);
+  std::vector<UpstreamState> upstreams = Engines(3);
   for (int i = 0; i < 20; ++i) {
-    NoteEventGap(upstreams[0], Millis(10));
-    NoteEventGap(upstreams[1], Millis(11));
-    NoteEventGap(upstreams[2], Millis(80));
+    RecordEventGap(upstreams[0], Millis(10));
+    RecordEventGap(upstreams[1], Millis(11));
+    RecordEventGap(upstreams[2], Millis(80));
   }
   MarkStragglers(absl::MakeSpan(upstreams), policy);
   CHECK_TRUE(upstreams[2].straggler);
   CHECK_FALSE(upstreams[0].straggler);
   for (int i = 0; i < 100; ++i) {
-    CHECK(*Place(upstreams, MakeRequest(WorkShape::kPlain), kNow, i / 100.0,
-                 policy) != 2u);
+    CHECK(*ChooseUpstream(upstreams, MakeRequest(WorkShape::kPlain), kNow,
+                          i / 100.0, policy) != 2u);
   }
-  upstreams[0].info.leaving = upstreams[1].info.leaving = true;
-  CHECK_EQUAL(
-      2u, *Place(upstreams, MakeRequest(WorkShape::kPlain), kNow, 0, policy));
+  upstreams[0].info.draining = upstreams[1].info.draining = true;
+  CHECK_EQUAL(2u, *ChooseUpstream(upstreams, MakeRequest(WorkShape::kPlain),
+                                  kNow, 0, policy));
 }
 
 TEST(placement, BusyUpstreamsAreSkipped) {
-  std::vector<UpstreamBoard> upstreams = Engines(3);
+  std::vector<UpstreamState> upstreams = Engines(3);
   upstreams[0].in_flight = upstreams[1].in_flight = 64;
-  PlacementAsk request = MakeRequest(WorkShape::kPlain);
-  CHECK_EQUAL(2u, *Place(upstreams, request, kNow, 0.1, kPolicy));
+  PlacementRequest request = MakeRequest(WorkShape::kPlain);
+  CHECK_EQUAL(2u, *ChooseUpstream(upstreams, request, kNow, 0.1, kPolicy));
   request.service = "another";
-  CHECK_FALSE(Place(upstreams, request, kNow, 0.1, kPolicy).has_value());
+  CHECK_FALSE(
+      ChooseUpstream(upstreams, request, kNow, 0.1, kPolicy).has_value());
 }
 
 // Failure: a request repeated with its idempotency key runs twice. Sequence:
@@ -364,19 +373,21 @@
 // which does not know the key, gets it. The repeated request waits for its
 // pinned upstream instead.
 TEST(placement, PinnedRequestUsesOnlyItsUpstream) {
-  std::vector<UpstreamBoard> upstreams = Engines(3);
-  PlacementAsk request = MakeRequest(WorkShape::kPlain);
+  std::vector<UpstreamState> upstreams = Engines(3);
+  PlacementRequest request = MakeRequest(WorkShape::kPlain);
   request.pinned = 77;
-  size_t pinned_index = *Place(upstreams, request, kNow, 0.3, kPolicy);
+  size_t pinned_index = *ChooseUpstream(upstreams, request, kNow, 0.3, kPolicy);
   for (int i = 0; i < 50; ++i) {
     CHECK_EQUAL(pinned_index,
-                *Place(upstreams, request, kNow, i / 50.0, kPolicy));
+                *ChooseUpstream(upstreams, request, kNow, i / 50.0, kPolicy));
   }
   upstreams[pinned_index].in_flight = 64;
-  CHECK_FALSE(Place(upstreams, request, kNow, 0.3, kPolicy).has_value());
+  CHECK_FALSE(
+      ChooseUpstream(upstreams, request, kNow, 0.3, kPolicy).has_value());
   upstreams[pinned_index].in_flight = 0;
   upstreams[pinned_index].reachable = false;
-  CHECK_FALSE(Place(upstreams, request, kNow, 0.3, kPolicy).has_value());
+  CHECK_FALSE(
+      ChooseUpstream(upstreams, request, kNow, 0.3, kPolicy).has_value());
 }
 
 // Failure: an engine prefills a shared prefix although another engine holds it.
@@ -386,18 +397,20 @@
 // placement does not use. The source must be the other preferred engine of the
 // prefix, never the engine itself.
 TEST(placement, CopySourceIsTheOtherPreferredEngine) {
-  std::vector<UpstreamBoard> upstreams = Engines(12);
+  std::vector<UpstreamState> upstreams = Engines(12);
   for (uint64_t subject = 1; subject <= 50; ++subject) {
-    PlacementAsk request = MakeRequest(WorkShape::kPrefill, subject);
-    size_t first = *Place(upstreams, request, kNow, 0.5, kPolicy);
-    upstreams[first].reading = 100;  // At its prefill limit.
-    size_t second = *Place(upstreams, request, kNow, 0.5, kPolicy);
-    upstreams[first].reading = 0;
+    PlacementRequest request = MakeRequest(WorkShape::kPrefill, subject);
+    size_t first = *ChooseUpstream(upstreams, request, kNow, 0.5, kPolicy);
+    upstreams[first].prefills_in_flight = 100;  // At its prefill limit.
+    size_t second = *ChooseUpstream(upstreams, request, kNow, 0.5, kPolicy);
+    upstreams[first].prefills_in_flight = 0;
     CHECK(first != second);
-    CHECK_EQUAL(first, *FirstHome(upstreams, "engine", subject, 3,
-                                  upstreams[second].info.id, kNow, kPolicy));
-    CHECK_EQUAL(second, *FirstHome(upstreams, "engine", subject, 3,
-                                   upstreams[first].info.id, kNow, kPolicy));
+    CHECK_EQUAL(first,
+                *PreferredEngine(upstreams, "engine", subject, 3,
+                                 upstreams[second].info.id, kNow, kPolicy));
+    CHECK_EQUAL(second,
+                *PreferredEngine(upstreams, "engine", subject, 3,
+                                 upstreams[first].info.id, kNow, kPolicy));
   }
 }
 
@@ -407,38 +420,39 @@
 // draining one is not ranked: 0. The number must count all engines that are not
 // draining.
 TEST(placement, DrainingEngineDoesNotChangeRankedCount) {
-  std::vector<UpstreamBoard> upstreams = Engines(9);
-  LONGS_EQUAL(9, RankedUpstreams(upstreams, "engine"));
-  upstreams.back().info.leaving = true;
+  std::vector<UpstreamState> upstreams = Engines(9);
+  LONGS_EQUAL(9, CountRankedUpstreams(upstreams, "engine"));
+  upstreams.back().info.draining = true;
   RankUpstreams(absl::MakeSpan(upstreams));
-  LONGS_EQUAL(8, RankedUpstreams(upstreams, "engine"));
-  LONGS_EQUAL(0, RankedUpstreams(upstreams, "another"));
+  LONGS_EQUAL(8, CountRankedUpstreams(upstreams, "engine"));
+  LONGS_EQUAL(0, CountRankedUpstreams(upstreams, "another"));
 }
 
 // Failure: at the highest load a fifth of the long generations exceeds its
-// token gap target. Load pattern: a third of the engines takes 1.3 times as
+// event gap target. Load pattern: a third of the engines takes 1.3 times as
 // long per token; a concurrent prefill delays a generation by 137 ms on a fast
 // engine and by 180 ms on a slow one, with a target of 150 ms. Cause: placement
 // treats all engines alike.
 TEST(placement, LongGenerationsPreferFastEngines) {
-  std::vector<UpstreamBoard> upstreams = Engines(12);
+  std::vector<UpstreamState> upstreams = Engines(12);
   for (size_t i = 0; i < upstreams.size(); ++i) {
     for (int k = 0; k < 10; ++k)
-      NotePace(upstreams[i], Millis(i % 3 ? 30 : 39));
+      RecordDecodePace(upstreams[i], Millis(i % 3 ? 30 : 39));
   }
-  MarkSlow(absl::MakeSpan(upstreams), kPolicy);
-  PlacementAsk request = MakeRequest(WorkShape::kDecode);
+  MarkSlowDecoders(absl::MakeSpan(upstreams), kPolicy);
+  PlacementRequest request = MakeRequest(WorkShape::kDecode);
   request.decode_engines = 6;
   std::mt19937_64 random(5);
   std::uniform_real_distribution<double> draw(0, 1);
   int fast_engines = 0;
-  for (const UpstreamBoard& b : upstreams)
+  for (const UpstreamState& b : upstreams)
     fast_engines += !b.slow_decode && b.rank < 6;
   CHECK_TRUE(fast_engines > 0 && fast_engines < 6);
   // The fast engines get all generations until a quarter of their slots is
   // used.
   for (int i = 0; i < 16 * fast_engines; ++i) {
-    size_t at = *Place(upstreams, request, kNow, draw(random), kPolicy);
+    size_t at =
+        *ChooseUpstream(upstreams, request, kNow, draw(random), kPolicy);
     CHECK_FALSE(upstreams[at].slow_decode);
     ++upstreams[at].in_flight;
   }
@@ -446,7 +460,8 @@
   // generation is rejected.
   bool slow_taken = false;
   for (int i = 0; i < 64; ++i) {
-    size_t at = *Place(upstreams, request, kNow, draw(random), kPolicy);
+    size_t at =
+        *ChooseUpstream(upstreams, request, kNow, draw(random), kPolicy);
     slow_taken = slow_taken || upstreams[at].slow_decode;
     ++upstreams[at].in_flight;
   }
@@ -457,20 +472,20 @@
 // pace, all engines busy, or events that were delayed on their way and arrived
 // together.
 TEST(placement, BusyOrDelayedEnginesAreNotMarkedSlow) {
-  std::vector<UpstreamBoard> upstreams = Engines(12);
-  NotePace(upstreams[0], Millis(30));
-  NotePace(upstreams[1], Millis(60));
-  MarkSlow(absl::MakeSpan(upstreams), kPolicy);
+  std::vector<UpstreamState> upstreams = Engines(12);
+  RecordDecodePace(upstreams[0], Millis(30));
+  RecordDecodePace(upstreams[1], Millis(60));
+  MarkSlowDecoders(absl::MakeSpan(upstreams), kPolicy);
   CHECK_FALSE(upstreams[1].slow_decode);
-  for (UpstreamBoard& b : upstreams) b.decode_pace_s = 0.030;
+  for (UpstreamState& b : upstreams) b.decode_pace_s = 0.030;
   // An entry that was suspended receives all delayed events together.
   for (int i = 0; i < 6; ++i)
-    NotePace(upstreams[static_cast<size_t>(i)], Millis(1));
-  MarkSlow(absl::MakeSpan(upstreams), kPolicy);
-  for (const UpstreamBoard& b : upstreams) CHECK_FALSE(b.slow_decode);
-  for (UpstreamBoard& b : upstreams) {
-    for (int i = 0; i < 40; ++i) NotePace(b, Millis(75));
+    RecordDecodePace(upstreams[static_cast<size_t>(i)], Millis(1));
+  MarkSlowDecoders(absl::MakeSpan(upstreams), kPolicy);
+  for (const UpstreamState& b : upstreams) CHECK_FALSE(b.slow_decode);
+  for (UpstreamState& b : upstreams) {
+    for (int i = 0; i < 40; ++i) RecordDecodePace(b, Millis(75));
   }
-  MarkSlow(absl::MakeSpan(upstreams), kPolicy);
-  for (const UpstreamBoard& b : upstreams) CHECK_FALSE(b.slow_decode);
+  MarkSlowDecoders(absl::MakeSpan(upstreams), kPolicy);
+  for (const UpstreamState& b : upstreams) CHECK_FALSE(b.slow_decode);
 }
--- a/test/policy/quarantine_test.cc
+++ b/test/policy/quarantine_test.cc
@@ -52,7 +52,7 @@
   CHECK_TRUE(q.Refuses(kCrashing));
   CHECK_FALSE(q.Refuses(kOther));
   CHECK_FALSE(q.Refuses(kCoLocated));
-  CHECK_TRUE(q.RefusedFor(kCrashing, now) > Duration::zero());
+  CHECK_TRUE(q.RemainingQuarantine(kCrashing, now) > Duration::zero());
 }
 
 // A harmless request that was co-located with the crash-inducing one each time
@@ -293,8 +293,8 @@
       *DecodeCrashRecords(EncodeCrashRecords(q.Shared(), now), other_now));
   CHECK_TRUE(other.Refuses(kCrashing));
   CHECK_EQUAL(q.version(), other.version());
-  CHECK_EQUAL(ToMs(q.RefusedFor(kCrashing, now)),
-              ToMs(other.RefusedFor(kCrashing, other_now)));
+  CHECK_EQUAL(ToMs(q.RemainingQuarantine(kCrashing, now)),
+              ToMs(other.RemainingQuarantine(kCrashing, other_now)));
 
   std::string dir = TempDir();
   CHECK_TRUE(LoadCrashRecords(dir, now).empty());
--- a/test/policy/reading_gate_test.cc
+++ b/test/policy/reading_gate_test.cc
@@ -14,43 +14,44 @@
 // single engine only every few seconds. The limit must fall until first events
 // are in time, and rise again only while it is reached.
 TEST(reading_gate, LimitFollowsFirstEventsOfAllEngines) {
-  ReadingGatePolicy policy;
-  ReadingGate gate(policy);
-  for (int i = 0; i < 100; ++i) gate.NoteFirstEvent(Millis(900), Millis(1000));
-  DOUBLES_EQUAL(policy.least, gate.limit(), 0.2);
-  double low = gate.limit();
-  gate.NoteFirstEvent(Millis(100), Millis(1000));
-  DOUBLES_EQUAL(low, gate.limit(), 0.001);
+  PrefillLimiterPolicy policy;
+  PrefillLimiter limiter(policy);
+  for (int i = 0; i < 100; ++i)
+    limiter.RecordFirstEvent(Millis(900), Millis(1000));
+  DOUBLES_EQUAL(policy.min_limit, limiter.limit(), 0.2);
+  double low = limiter.limit();
+  limiter.RecordFirstEvent(Millis(100), Millis(1000));
+  DOUBLES_EQUAL(low, limiter.limit(), 0.001);
   for (int i = 0; i < 20; ++i) {
-    while (gate.open(0)) gate.Sent(0);
-    gate.NoteFirstEvent(Millis(100), Millis(1000));
+    while (limiter.MaySend(0)) limiter.RecordSent(0);
+    limiter.RecordFirstEvent(Millis(100), Millis(1000));
   }
-  CHECK_TRUE(gate.limit() > low + 2);
+  CHECK_TRUE(limiter.limit() > low + 2);
 }
 
 // Failure: a class is rejected while a less urgent one is served. Load pattern:
 // both exceed the capacity at once. Less urgent prompts in flight must not
 // block more urgent ones; more urgent ones do block less urgent ones.
 TEST(reading_gate, LessUrgentPromptsDoNotBlockMoreUrgentOnes) {
-  ReadingGatePolicy policy;
-  ReadingGate gate(policy);
-  while (gate.open(2)) gate.Sent(2);
-  CHECK_TRUE(gate.open(1));
-  while (gate.open(1)) gate.Sent(1);
-  for (int i = 0; i < 8; ++i) gate.Ended(2);
-  CHECK_FALSE(gate.open(2));
-  CHECK_FALSE(gate.open(1));
+  PrefillLimiterPolicy policy;
+  PrefillLimiter limiter(policy);
+  while (limiter.MaySend(2)) limiter.RecordSent(2);
+  CHECK_TRUE(limiter.MaySend(1));
+  while (limiter.MaySend(1)) limiter.RecordSent(1);
+  for (int i = 0; i < 8; ++i) limiter.RecordPrefillEnd(2);
+  CHECK_FALSE(limiter.MaySend(2));
+  CHECK_FALSE(limiter.MaySend(1));
 }
 
 // A few late first events among many timely ones do not block prompts.
 TEST(reading_gate, FewLateFirstEventsDoNotBlockPrompts) {
-  ReadingGatePolicy policy;
-  ReadingGate gate(policy);
+  PrefillLimiterPolicy policy;
+  PrefillLimiter limiter(policy);
   for (int i = 0; i < 300; ++i) {
-    while (gate.open(0)) gate.Sent(0);
-    gate.NoteFirstEvent(Millis(i % 8 ? 100 : 900), Millis(1000));
+    while (limiter.MaySend(0)) limiter.RecordSent(0);
+    limiter.RecordFirstEvent(Millis(i % 8 ? 100 : 900), Millis(1000));
   }
-  CHECK_TRUE(gate.limit() > policy.start / 2);
+  CHECK_TRUE(limiter.limit() > policy.initial_limit / 2);
 }
 
 // Failure: streams that began in time are cut at their deadline. Load pattern:
@@ -63,7 +64,7 @@
   constexpr auto kPrefillTime = Millis(100);
   constexpr auto kTarget = Millis(2000);
   constexpr auto kArrivalInterval = Millis(83);
-  ReadingGate gate(ReadingGatePolicy{});
+  PrefillLimiter limiter(PrefillLimiterPolicy{});
   std::deque<TimePoint> queue;  // Send times.
   TimePoint now{};
   TimePoint prefill_done{};
@@ -73,17 +74,17 @@
   for (; now < TimePoint{} + std::chrono::seconds(60); now += Millis(1)) {
     if (now >= next_arrival) {
       next_arrival += kArrivalInterval;
-      if (gate.open(0)) {
+      if (limiter.MaySend(0)) {
         if (queue.empty()) prefill_done = now + kPrefillTime;
-        gate.Sent(0);
+        limiter.RecordSent(0);
         queue.push_back(now);
       }
     }
     if (queue.empty() || now < prefill_done) continue;
     Duration took = now - queue.front();
     queue.pop_front();
-    gate.Ended(0);
-    gate.NoteFirstEvent(took, kTarget);
+    limiter.RecordPrefillEnd(0);
+    limiter.RecordFirstEvent(took, kTarget);
     if (!queue.empty()) prefill_done = now + kPrefillTime;
     if (now < TimePoint{} + std::chrono::seconds(30)) continue;
     total_latency += took;
--- a/test/policy/tier_guard_test.cc
+++ b/test/policy/tier_guard_test.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr TierGuardPolicy kPolicy;
+constexpr TierAdmissionPolicy kPolicy;
 const TimePoint kNow = TimePoint{} + std::chrono::seconds(100);
 
 }  // namespace
@@ -23,9 +23,9 @@
 // waiting requests of tier 1 expire; the next free slot finds only tier 2
 // waiting. A tier with rejections must block less urgent tiers.
 TEST(tier_guard, NoSlotGoesToALessUrgentTierDuringRejections) {
-  for (bool guarded : {false, true}) {
+  for (bool with_admission : {false, true}) {
     std::mt19937 random(7);
-    TierGuard guard(kPolicy);
+    TierAdmission admission(kPolicy);
     struct Waiting {
       Tier tier;
       TimePoint until;
@@ -44,20 +44,20 @@
           ++i;
           continue;
         }
-        guard.NoteTurnedAway(queue[i].tier, now);
+        admission.RecordRejection(queue[i].tier, now);
         ++rejected[queue[i].tier];
         queue.erase(queue.begin() + static_cast<long>(i));
       }
       bool slot_free = random() % 80 == 0;
       if (!slot_free || queue.empty()) continue;
       Tier first = queue[0].tier;
-      if (guarded && !guard.Admits(first, now)) continue;
-      guard.NotePlace(first, now);
+      if (with_admission && !admission.Admits(first, now)) continue;
+      admission.RecordDispatch(first, now);
       ++started[first];
       queue.erase(queue.begin());
     }
     CHECK_TRUE(rejected[1] > 100);
-    if (guarded) {
+    if (with_admission) {
       CHECK_TRUE(started[2] <= 2);  // Before the first rejection.
     } else {
       CHECK_TRUE(started[2] > 5);
@@ -67,15 +67,15 @@
 
 // A tier with rejections does not block itself or more urgent tiers.
 TEST(tier_guard, SameAndMoreUrgentTiersContinue) {
-  TierGuard guard(kPolicy);
-  CHECK_TRUE(guard.Admits(5, kNow));
-  for (int i = 0; i < 5; ++i) guard.NoteTurnedAway(2, kNow);
+  TierAdmission admission(kPolicy);
+  CHECK_TRUE(admission.Admits(5, kNow));
+  for (int i = 0; i < 5; ++i) admission.RecordRejection(2, kNow);
   Tier tier = 0;
-  CHECK_TRUE(guard.TurningAway(kNow, &tier));
+  CHECK_TRUE(admission.MostUrgentRejectedTier(kNow, &tier));
   CHECK_EQUAL(2, tier);
-  CHECK_TRUE(guard.Admits(0, kNow));
-  CHECK_TRUE(guard.Admits(2, kNow));
-  CHECK_FALSE(guard.Admits(3, kNow));
+  CHECK_TRUE(admission.Admits(0, kNow));
+  CHECK_TRUE(admission.Admits(2, kNow));
+  CHECK_FALSE(admission.Admits(3, kNow));
 }
 
 // Failure: a class gets nothing for seconds although engines are free.
@@ -84,38 +84,38 @@
 // after the last rejection.
 TEST(tier_guard, BlockEndsSoonAfterABurst) {
   for (bool more_arrive : {false, true}) {
-    TierGuard guard(kPolicy);
-    for (int i = 0; i < 500; ++i) guard.NoteTurnedAway(0, kNow);
-    CHECK_FALSE(guard.Admits(1, kNow + Millis(1000)));
+    TierAdmission admission(kPolicy);
+    for (int i = 0; i < 500; ++i) admission.RecordRejection(0, kNow);
+    CHECK_FALSE(admission.Admits(1, kNow + Millis(1000)));
     for (int ms = 0; more_arrive && ms < 3000; ms += 300) {
-      guard.NotePlace(0, kNow + Millis(ms));
+      admission.RecordDispatch(0, kNow + Millis(ms));
     }
-    CHECK_TRUE(guard.Admits(1, kNow + Millis(3000)));
+    CHECK_TRUE(admission.Admits(1, kNow + Millis(3000)));
   }
 }
 
 // One rejection among very many requests blocks nobody for long.
 TEST(tier_guard, OneRejectionAmongManyDoesNotBlock) {
-  TierGuard guard(kPolicy);
+  TierAdmission admission(kPolicy);
   TimePoint now = kNow;
-  for (int i = 0; i < 200; ++i) guard.NotePlace(0, now += Millis(10));
-  guard.NoteTurnedAway(0, now);
-  for (int i = 0; i < 20; ++i) guard.NotePlace(0, now += Millis(10));
-  CHECK_TRUE(guard.Admits(1, now));
+  for (int i = 0; i < 200; ++i) admission.RecordDispatch(0, now += Millis(10));
+  admission.RecordRejection(0, now);
+  for (int i = 0; i < 20; ++i) admission.RecordDispatch(0, now += Millis(10));
+  CHECK_TRUE(admission.Admits(1, now));
 }
 
 // When the prefill limit is reached, only the least urgent prompts wait; more
 // urgent ones still find room.
 TEST(tier_guard, UrgentPromptsFindRoomAtThePrefillLimit) {
-  ReadingGatePolicy policy;
-  ReadingGate gate(policy);
-  gate.Sent(2);
-  gate.Ended(2);
+  PrefillLimiterPolicy policy;
+  PrefillLimiter limiter(policy);
+  limiter.RecordSent(2);
+  limiter.RecordPrefillEnd(2);
   int urgent = 0;
-  for (; gate.open(1); ++urgent) gate.Sent(1);
-  CHECK_TRUE(urgent >= 1.9 * policy.start);
-  for (int i = 0; i < urgent; ++i) gate.Ended(1);
+  for (; limiter.MaySend(1); ++urgent) limiter.RecordSent(1);
+  CHECK_TRUE(urgent >= 1.9 * policy.initial_limit);
+  for (int i = 0; i < urgent; ++i) limiter.RecordPrefillEnd(1);
   int least = 0;
-  for (; gate.open(2); ++least) gate.Sent(2);
-  CHECK_TRUE(least <= policy.start);
+  for (; limiter.MaySend(2); ++least) limiter.RecordSent(2);
+  CHECK_TRUE(least <= policy.initial_limit);
 }
--- a/test/policy/upstream_list_test.cc
+++ b/test/policy/upstream_list_test.cc
@@ -33,8 +33,8 @@
 std::string ListText(const std::vector<UpstreamInfo>& list) {
   std::string out;
   for (const UpstreamInfo& u : list) {
-    absl::StrAppend(&out, u.id, " ", u.born, " ", u.service, " ",
-                    u.address.ToString(), " ", u.data_centre, " ", u.leaving,
+    absl::StrAppend(&out, u.id, " ", u.started_unix_ms, " ", u.service, " ",
+                    u.address.ToString(), " ", u.data_centre, " ", u.draining,
                     " ", u.slots, "\n");
   }
   return out;
@@ -57,11 +57,11 @@
           if (now_.size() > 20) now_.erase(now_.begin() + at);
           break;
         case 2:
-          now_[at].leaving = !now_[at].leaving;
+          now_[at].draining = !now_[at].draining;
           break;
         default:
           ++now_[at].address.port;
-          now_[at].born += 1000;
+          now_[at].started_unix_ms += 1000;
       }
     }
     std::shuffle(now_.begin(), now_.end(), random_);
@@ -96,12 +96,12 @@
   CHECK_EQUAL(a.version(), b.version());
   std::vector<UpstreamInfo> others[7];
   for (auto& o : others) o = Upstreams(0, 9);
-  others[0][4].leaving = true;
+  others[0][4].draining = true;
   others[1][4].service = "s";
   others[2][4].address.port = 81;
   others[3][4].data_centre = "";
   others[4][4].slots = 1;
-  others[5][4].born = 1;
+  others[5][4].started_unix_ms = 1;
   others[6].pop_back();
   for (const auto& o : others) {
     b.Replace(o);
@@ -145,7 +145,7 @@
       for (int f = 0; f < 2; ++f) {
         ListHistory& s = source[random() % 2];
         if (follower[f].version() != s.version()) {
-          in_transit[f].push_back(s.EncodedSince(follower[f].version()));
+          in_transit[f].push_back(s.EncodedChangeSince(follower[f].version()));
         }
         while (!in_transit[f].empty() && random() % 3 != 0) {
           size_t at = random() % in_transit[f].size();
@@ -161,7 +161,7 @@
       // No more losses: one request suffices, plus one for the whole list if
       // the first answer does not fit.
       if (follower[f].version() != source[0].version()) {
-        deliver(f, source[0].EncodedSince(follower[f].version()));
+        deliver(f, source[0].EncodedChangeSince(follower[f].version()));
       }
       STRCMP_EQUAL(newest.c_str(), ListText(follower[f].All()).c_str());
       CHECK_EQUAL(source[0].version(), follower[f].version());
@@ -176,21 +176,21 @@
   ListHistory source = History();
   source.Replace(Upstreams(0, 20));
   UpstreamList follower_list;
-  CHECK_TRUE(follower_list.Apply(source.Since(0)));
+  CHECK_TRUE(follower_list.Apply(source.ChangeSince(0)));
   int64_t base = follower_list.version();
   std::vector<UpstreamInfo> next = Upstreams(0, 20);
-  next[3].leaving = true;
+  next[3].draining = true;
   next.pop_back();
   source.Replace(next);
-  ListChange good = source.Since(base);
+  ListChange good = source.ChangeSince(base);
   CHECK_EQUAL(1, good.changed.size());
-  CHECK_EQUAL(1, good.gone.size());
+  CHECK_EQUAL(1, good.removed_ids.size());
 
   std::vector<ListChange> bad(6, good);
   bad[0].from = base + 1;
   bad[1].to += 1;
   bad[2].changed[0].address.port = 9;
-  bad[3].gone.clear();
+  bad[3].removed_ids.clear();
   bad[4].changed.push_back(bad[4].changed[0]);
   bad[5].from = 0;  // Claims to be the whole list.
   for (const ListChange& c : bad) {
@@ -213,13 +213,14 @@
     now[0].address.port += i;
     source.Replace(now);
   }
-  CHECK_TRUE(source.Knows(first));
-  CHECK_EQUAL(1, source.Since(first).changed.size());
-  CHECK_TRUE(source.EncodedSince(first) == source.EncodedSince(first));
+  CHECK_TRUE(source.HasChangesSince(first));
+  CHECK_EQUAL(1, source.ChangeSince(first).changed.size());
+  CHECK_TRUE(source.EncodedChangeSince(first) ==
+             source.EncodedChangeSince(first));
   source.Replace(Upstreams(0, 4));
-  CHECK_FALSE(source.Knows(first));
-  CHECK_EQUAL(0, source.Since(first).from);
-  CHECK_TRUE(source.EncodedSince(first) == source.EncodedSince(0));
+  CHECK_FALSE(source.HasChangesSince(first));
+  CHECK_EQUAL(0, source.ChangeSince(first).from);
+  CHECK_TRUE(source.EncodedChangeSince(first) == source.EncodedChangeSince(0));
 }
 
 // When a list returns to an earlier version, the difference starts from its
@@ -228,16 +229,16 @@
   ListHistory source = History();
   std::vector<UpstreamInfo> a = Upstreams(0, 8);
   std::vector<UpstreamInfo> b = a;
-  b[0].leaving = true;
+  b[0].draining = true;
   source.Replace(a);
   int64_t first = source.version();
   source.Replace(b);
   source.Replace(a);
   CHECK_EQUAL(first, source.version());
   b = a;
-  b[5].leaving = true;
+  b[5].draining = true;
   source.Replace(b);
-  ListChange c = source.Since(first);
+  ListChange c = source.ChangeSince(first);
   CHECK_EQUAL(1, c.changed.size());
   STRCMP_EQUAL("u-5", c.changed[0].id.c_str());
 }
@@ -249,9 +250,9 @@
   std::vector<UpstreamInfo> list = Upstreams(0, 3000);
   source.Replace(list);
   int64_t held_version = source.version();
-  size_t whole = source.EncodedSince(0)->size();
-  list[1500].leaving = true;
+  size_t whole = source.EncodedChangeSince(0)->size();
+  list[1500].draining = true;
   source.Replace(list);
-  CHECK_TRUE(source.EncodedSince(held_version)->size() < 200);
+  CHECK_TRUE(source.EncodedChangeSince(held_version)->size() < 200);
   CHECK_TRUE(whole > 10'000);
 }
--- a/test/policy/waiting_test.cc
+++ b/test/policy/waiting_test.cc
@@ -22,32 +22,32 @@
   explicit Rig(WaitingPolicy policy) : queue(policy) {
     clock.Advance(std::chrono::hours(1));
   }
-  absl::Status Enter(uint64_t seq, Tier tier,
-                     Duration max_wait = std::chrono::seconds(100)) {
+  absl::Status Enqueue(uint64_t seq, Tier tier,
+                       Duration max_wait = std::chrono::seconds(100)) {
     WaitingRequest w;
     w.seq = seq;
     w.tier = tier;
-    w.since = clock.Now();
-    w.until = w.since + max_wait;
+    w.enqueued_at = clock.Now();
+    w.reject_at = w.enqueued_at + max_wait;
     w.service = kService;
-    return queue.Enter(std::move(w), &shed);
+    return queue.Enqueue(std::move(w), &shed);
   }
   // Dispatches the first request in serving order. Returns 0 when none waits.
   uint64_t DispatchNext() {
-    std::vector<uint64_t> order = queue.InOrder(kService, clock.Now());
+    std::vector<uint64_t> order = queue.ServingOrder(kService, clock.Now());
     if (order.empty()) return 0;
-    queue.Served(order.front(), clock.Now());
-    queue.NotePlace(kService, clock.Now());
+    queue.RemoveServed(order.front(), clock.Now());
+    queue.RecordDispatch(kService, clock.Now());
     return order.front();
   }
   ManualClock clock;
-  WaitingRoom queue;
+  WaitingQueue queue;
   std::optional<uint64_t> shed;
 };
 
 WaitingPolicy PolicyWithLimit(size_t most) {
   WaitingPolicy p;
-  p.most_waiting = most;
+  p.max_waiting = most;
   return p;
 }
 
@@ -60,13 +60,13 @@
 // arrives. The queue must shed the lower tier.
 TEST(waiting, FullQueueShedsLowerTierNotHigher) {
   Rig r(PolicyWithLimit(3));
-  for (uint64_t i = 1; i <= 3; ++i) CHECK_TRUE(r.Enter(i, kLow).ok());
-  CHECK_TRUE(r.Enter(4, kTop).ok());
+  for (uint64_t i = 1; i <= 3; ++i) CHECK_TRUE(r.Enqueue(i, kLow).ok());
+  CHECK_TRUE(r.Enqueue(4, kTop).ok());
   CHECK_TRUE(r.shed.has_value());
   CHECK_EQUAL(3u, *r.shed);  // The newest of the lowest tier.
   // A low-tier arrival never sheds the top tier: it is rejected instead.
-  for (uint64_t i = 5; i <= 7; ++i) r.Enter(i, kTop).IgnoreError();
-  absl::Status low = r.Enter(8, kLow);
+  for (uint64_t i = 5; i <= 7; ++i) r.Enqueue(i, kTop).IgnoreError();
+  absl::Status low = r.Enqueue(8, kLow);
   CHECK_FALSE(low.ok());
   CHECK(KindOf(low) == ErrorKind::kOverloaded);
   CHECK_FALSE(r.shed.has_value());
@@ -74,9 +74,9 @@
 
 TEST(waiting, HigherTierGoesFirst) {
   Rig r({});
-  CHECK_TRUE(r.Enter(1, kLow).ok());
+  CHECK_TRUE(r.Enqueue(1, kLow).ok());
   r.clock.Advance(Millis(1));
-  CHECK_TRUE(r.Enter(2, kTop).ok());
+  CHECK_TRUE(r.Enqueue(2, kTop).ok());
   CHECK_EQUAL(2u, r.DispatchNext());
   CHECK_EQUAL(1u, r.DispatchNext());
 }
@@ -84,27 +84,27 @@
 // Guards the baseline of comparisons, which ignores tiers.
 TEST(waiting, WithoutTiersServesInArrivalOrder) {
   WaitingPolicy p;
-  p.tiered = false;
+  p.tier_order = false;
   Rig r(p);
-  CHECK_TRUE(r.Enter(1, kLow).ok());
-  CHECK_TRUE(r.Enter(2, kTop).ok());
+  CHECK_TRUE(r.Enqueue(1, kLow).ok());
+  CHECK_TRUE(r.Enqueue(2, kTop).ok());
   CHECK_EQUAL(1u, r.DispatchNext());
 }
 
 // Failure: the lowest class gets no answer while the top class is busy.
 // Sequence: the top tier takes every slot for longer than the starvation bound.
-// One slot in floor_every must go to the starving request.
+// One slot in floor_interval must go to the starving request.
 TEST(waiting, StarvingLowTierGetsFloorSlots) {
   WaitingPolicy p;
   p.starvation_bound = Millis(1000);
-  p.floor_every = 4;
+  p.floor_interval = 4;
   Rig r(p);
-  CHECK_TRUE(r.Enter(1, kLow).ok());
+  CHECK_TRUE(r.Enqueue(1, kLow).ok());
   uint64_t next = 2;
   bool low_served = false;
   for (int step = 0; step < 100 && !low_served; ++step) {
-    CHECK_TRUE(r.Enter(next++, kTop).ok());
-    CHECK_TRUE(r.Enter(next++, kTop).ok());
+    CHECK_TRUE(r.Enqueue(next++, kTop).ok());
+    CHECK_TRUE(r.Enqueue(next++, kTop).ok());
     r.clock.Advance(Millis(50));
     low_served = r.DispatchNext() == 1;
   }
@@ -125,13 +125,13 @@
   for (int step = 0; step < 300; ++step) {
     // Every 10 ms: 4 slots and 4 top-tier arrivals; every 30 ms: one arrival of
     // a lower tier.
-    for (int i = 0; i < 4; ++i) CHECK_TRUE(r.Enter(next++, kTop).ok());
+    for (int i = 0; i < 4; ++i) CHECK_TRUE(r.Enqueue(next++, kTop).ok());
     if (step % 3 == 0) {
-      CHECK_TRUE(r.Enter(1000000 + next++, 1, Millis(800)).ok());
+      CHECK_TRUE(r.Enqueue(1000000 + next++, 1, Millis(800)).ok());
     }
     r.clock.Advance(Millis(10));
-    for (uint64_t seq : r.queue.Expired(r.clock.Now())) {
-      r.queue.Leave(seq);
+    for (uint64_t seq : r.queue.ExpiredRequests(r.clock.Now())) {
+      r.queue.RemoveUnserved(seq);
       ++rejected;
     }
     for (int i = 0; i < 4; ++i) r.DispatchNext();
@@ -144,13 +144,13 @@
 // moment its maximum wait ends.
 TEST(waiting, ExpiredRequestIsReportedAtItsDeadline) {
   Rig r({});
-  CHECK_TRUE(r.Enter(1, kTop, Millis(500)).ok());
+  CHECK_TRUE(r.Enqueue(1, kTop, Millis(500)).ok());
   r.clock.Advance(Millis(499));
-  CHECK_EQUAL(0u, r.queue.Expired(r.clock.Now()).size());
+  CHECK_EQUAL(0u, r.queue.ExpiredRequests(r.clock.Now()).size());
   r.clock.Advance(Millis(1));
-  std::vector<uint64_t> out = r.queue.Expired(r.clock.Now());
+  std::vector<uint64_t> out = r.queue.ExpiredRequests(r.clock.Now());
   CHECK_EQUAL(1u, out.size());
-  r.queue.Leave(out[0]);
+  r.queue.RemoveUnserved(out[0]);
   CHECK_EQUAL(0u, r.queue.size(kService));
 }
 
@@ -159,16 +159,16 @@
 // arrival.
 TEST(waiting, UnmeetableTargetIsRejectedOnArrival) {
   WaitingPolicy p;
-  p.refuse_unmeetable = true;
+  p.reject_unmeetable = true;
   Rig r(p);
   // Slots become free at 10/s: two dispatches 100 ms apart set the rate.
-  for (uint64_t i = 1; i <= 3; ++i) CHECK_TRUE(r.Enter(i, kTop).ok());
+  for (uint64_t i = 1; i <= 3; ++i) CHECK_TRUE(r.Enqueue(i, kTop).ok());
   r.DispatchNext();
   r.clock.Advance(Millis(100));
   r.DispatchNext();
-  for (uint64_t i = 10; i < 20; ++i) CHECK_TRUE(r.Enter(i, kTop).ok());
+  for (uint64_t i = 10; i < 20; ++i) CHECK_TRUE(r.Enqueue(i, kTop).ok());
   // 11 requests ahead at 10/s take 1.1 s, more than the 500 ms target.
-  absl::Status s = r.Enter(30, kTop, Millis(500));
+  absl::Status s = r.Enqueue(30, kTop, Millis(500));
   CHECK(KindOf(s) == ErrorKind::kTargetUnmeetable);
 }
 
@@ -185,7 +185,7 @@
     p.starvation_bound = Millis(1000);
     Rig ours(p);
     WaitingPolicy naive_policy = PolicyWithLimit(20);
-    naive_policy.tiered = false;
+    naive_policy.tier_order = false;
     Rig naive(naive_policy);
     std::map<uint64_t, int> outcomes;  // Times each request left the queue.
     std::map<uint64_t, Tier> tier;
@@ -204,7 +204,7 @@
         since[seq] = ours.clock.Now();
         Duration max_wait = tier[seq] == kTop ? Millis(500) : Millis(100000);
         bool while_low_waits = low_waiting > 0;
-        absl::Status s = ours.Enter(seq, tier[seq], max_wait);
+        absl::Status s = ours.Enqueue(seq, tier[seq], max_wait);
         if (s.ok()) low_waiting += tier[seq] == kLow;
         if (ours.shed) {
           ++outcomes[*ours.shed];
@@ -213,16 +213,16 @@
         if (!s.ok() && tier[seq] == kTop && while_low_waits) {
           ++top_rejected_while_low_waits;
         }
-        bool naive_accepted = naive.Enter(seq, tier[seq], max_wait).ok();
+        bool naive_accepted = naive.Enqueue(seq, tier[seq], max_wait).ok();
         naive_top_rejected += !naive_accepted && tier[seq] == kTop;
       }
-      for (uint64_t q : ours.queue.Expired(ours.clock.Now())) {
-        ours.queue.Leave(q);
+      for (uint64_t q : ours.queue.ExpiredRequests(ours.clock.Now())) {
+        ours.queue.RemoveUnserved(q);
         ++outcomes[q];
         low_waiting -= tier[q] == kLow;
       }
-      for (uint64_t q : naive.queue.Expired(naive.clock.Now())) {
-        naive.queue.Leave(q);
+      for (uint64_t q : naive.queue.ExpiredRequests(naive.clock.Now())) {
+        naive.queue.RemoveUnserved(q);
       }
       // One slot per step is less than the arrivals: overload.
       if (uint64_t q = ours.DispatchNext()) {
@@ -238,7 +238,7 @@
     CHECK_EQUAL(0, top_rejected_while_low_waits);
     for (const auto& [q, n] : outcomes) CHECK_EQUAL(1, n);
     CHECK(worst_low_wait <=
-          p.starvation_bound + Millis(10 * p.floor_every * 21));
+          p.starvation_bound + Millis(10 * p.floor_interval * 21));
     CHECK(naive_top_rejected > 0);
   }
 }
@@ -252,10 +252,10 @@
   constexpr auto kTarget = Millis(1000);
   constexpr auto kFirstEvent = Millis(600);
   WaitingPolicy policy;
-  policy.most_waiting = 1000;
+  policy.max_waiting = 1000;
   Rig rig(policy);
-  auto max_wait =
-      std::chrono::duration_cast<Duration>(kTarget * policy.most_target_share);
+  auto max_wait = std::chrono::duration_cast<Duration>(
+      kTarget * policy.max_wait_target_share);
   std::map<uint64_t, TimePoint> arrived_at;
   uint64_t seq = 0;
   int dispatched = 0;
@@ -264,10 +264,10 @@
     rig.clock.Advance(Millis(5));
     if (ms % 10 == 0) {
       arrived_at[++seq] = rig.clock.Now();
-      CHECK_TRUE(rig.Enter(seq, kLow, max_wait).ok());
+      CHECK_TRUE(rig.Enqueue(seq, kLow, max_wait).ok());
     }
-    for (uint64_t expired : rig.queue.Expired(rig.clock.Now())) {
-      rig.queue.Leave(expired);
+    for (uint64_t expired : rig.queue.ExpiredRequests(rig.clock.Now())) {
+      rig.queue.RemoveUnserved(expired);
     }
     if (ms % 15 != 0) continue;
     uint64_t served = rig.DispatchNext();
--- a/test/upstream_pool_test.cc
+++ b/test/upstream_pool_test.cc
@@ -23,12 +23,12 @@
   bool open_ = true;
 };
 
-UpstreamInfo Engine(int64_t born, int port = 80) {
+UpstreamInfo Engine(int64_t started_unix_ms, int port = 80) {
   UpstreamInfo u;
   u.id = "i-1";
   u.service = "engine";
   u.address = {"10.0.0.9", port};
-  u.born = born;
+  u.started_unix_ms = started_unix_ms;
   return u;
 }
 
@@ -45,9 +45,9 @@
   // Gives the upstream a termination mark, a load, requests in flight and one
   // pooled link.
   std::shared_ptr<UpstreamLink> SetFailedState() {
-    UpstreamBoard& b = *pool.Find("i-1");
-    b.ended = true;
-    b.reported = 60;
+    UpstreamState& b = *pool.Find("i-1");
+    b.terminated = true;
+    b.reported_load = 60;
     b.in_flight = 3;
     auto link = pool.AcquireLink(b, Millis(100));
     pool.ReleaseLink("i-1", link);
@@ -57,18 +57,18 @@
 
 // Guards against stale state of a restarted upstream, which would get no
 // requests or count as holding prompts that it has lost. The upstream restarts
-// under its old id while its board marks it as terminated (another incarnation
-// answered at its address), loaded and connected. State kept by id alone would
-// survive the restart.
+// under its old id while its state says that it is terminated (another
+// incarnation answered at its address), loaded and connected. State kept by id
+// alone would survive the restart.
 TEST(upstream_pool, RestartResetsTheState) {
   UpdateList(Engine(1000));
   std::shared_ptr<UpstreamLink> link = SetFailedState();
   LONGS_EQUAL(0, UpdateList(Engine(1000)).size());
-  CHECK_TRUE(pool.Find("i-1")->ended);
+  CHECK_TRUE(pool.Find("i-1")->terminated);
   LONGS_EQUAL(1, UpdateList(Engine(2000)).size());
-  const UpstreamBoard& b = *pool.Find("i-1");
-  CHECK_FALSE(b.ended);
-  LONGS_EQUAL(0, b.reported);
+  const UpstreamState& b = *pool.Find("i-1");
+  CHECK_FALSE(b.terminated);
+  LONGS_EQUAL(0, b.reported_load);
   LONGS_EQUAL(3, b.in_flight);
   CHECK_TRUE(b.listed);
   CHECK_FALSE(link->open());
@@ -79,7 +79,7 @@
 TEST(upstream_pool, OutdatedListDoesNotRestoreTheEarlierStart) {
   UpdateList(Engine(2000));
   LONGS_EQUAL(0, UpdateList(Engine(1000)).size());
-  CHECK_EQUAL(2000, pool.Find("i-1")->info.born);
+  CHECK_EQUAL(2000, pool.Find("i-1")->info.started_unix_ms);
   CHECK_TRUE(pool.Find("i-1")->listed);
 }
 
@@ -89,5 +89,5 @@
   UpdateList(Engine(0));
   SetFailedState();
   LONGS_EQUAL(1, UpdateList(Engine(0, 81)).size());
-  CHECK_FALSE(pool.Find("i-1")->ended);
+  CHECK_FALSE(pool.Find("i-1")->terminated);
 }
