--- a/src/bench.cc
+++ b/src/bench.cc
@@ -9,7 +9,7 @@
 #include "absl/strings/str_cat.h"
 #include "absl/strings/str_format.h"
 #include "placement.h"
-#include "waiting.h"
+#include "waiting_queue.h"
 
 namespace medlarwalk {
 
--- a/src/dialect.h
+++ b/src/dialect.h
@@ -14,7 +14,7 @@
 #include "endpoint.h"
 #include "errors.h"
 #include "http1.h"
-#include "part_memory.h"
+#include "prefix_cache_index.h"
 #include "routing_config.h"
 #include "types.h"
 #include "upstream_link.h"
--- a/src/gateway.h
+++ b/src/gateway.h
@@ -23,16 +23,16 @@
 #include "limit_book.h"
 #include "limit_turns.h"
 #include "metrics.h"
-#include "part_memory.h"
 #include "placement.h"
+#include "prefill_limiter.h"
+#include "prefix_cache_index.h"
 #include "quarantine.h"
-#include "reading_gate.h"
 #include "retry_budget.h"
 #include "routing_config.h"
-#include "tier_guard.h"
+#include "tier_admission.h"
 #include "upstream_link.h"
 #include "upstream_pool.h"
-#include "waiting.h"
+#include "waiting_queue.h"
 
 namespace medlarwalk {
 
--- a/src/policy/newest_gate.cc
+++ b/src/policy/conflating_sender.cc
@@ -1,4 +1,4 @@
-#include "newest_gate.h"
+#include "conflating_sender.h"
 
 #include <utility>
 
--- a/src/policy/newest_gate.h
+++ b/src/policy/conflating_sender.h
@@ -1,8 +1,8 @@
 // Limits the bytes of configurations that are being committed. Load pattern:
 // operators or a program in a loop submit changes of hundreds of kilobytes
 // faster than the links carry them; each change replaces the earlier ones.
-#ifndef MEDLARWALK_NEWEST_GATE_H_
-#define MEDLARWALK_NEWEST_GATE_H_
+#ifndef MEDLARWALK_CONFLATING_SENDER_H_
+#define MEDLARWALK_CONFLATING_SENDER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -62,4 +62,4 @@
 
 }  // namespace medlarwalk
 
-#endif  // MEDLARWALK_NEWEST_GATE_H_
+#endif  // MEDLARWALK_CONFLATING_SENDER_H_
--- a/src/policy/reading_gate.h
+++ b/src/policy/prefill_limiter.h
@@ -7,8 +7,8 @@
 // order of arrival, where they can be neither ordered by tier nor rejected. The
 // limit follows the first events of all engines together: each late one lowers
 // it, and each timely one raises it while the limit is reached.
-#ifndef MEDLARWALK_READING_GATE_H_
-#define MEDLARWALK_READING_GATE_H_
+#ifndef MEDLARWALK_PREFILL_LIMITER_H_
+#define MEDLARWALK_PREFILL_LIMITER_H_
 
 #include <algorithm>
 #include <map>
@@ -88,4 +88,4 @@
 
 }  // namespace medlarwalk
 
-#endif  // MEDLARWALK_READING_GATE_H_
+#endif  // MEDLARWALK_PREFILL_LIMITER_H_
--- a/src/policy/part_memory.cc
+++ b/src/policy/prefix_cache_index.cc
@@ -1,4 +1,4 @@
-#include "part_memory.h"
+#include "prefix_cache_index.h"
 
 namespace medlarwalk {
 
--- a/src/policy/part_memory.h
+++ b/src/policy/prefix_cache_index.h
@@ -1,8 +1,8 @@
 // Records which engine last prefilled a prompt part. The result is only a hint:
 // an engine evicts parts when its memory fills, and other entries send prompts
 // to it as well.
-#ifndef MEDLARWALK_PART_MEMORY_H_
-#define MEDLARWALK_PART_MEMORY_H_
+#ifndef MEDLARWALK_PREFIX_CACHE_INDEX_H_
+#define MEDLARWALK_PREFIX_CACHE_INDEX_H_
 
 #include <cstdint>
 #include <string>
@@ -59,4 +59,4 @@
 
 }  // namespace medlarwalk
 
-#endif  // MEDLARWALK_PART_MEMORY_H_
+#endif  // MEDLARWALK_PREFIX_CACHE_INDEX_H_
--- a/src/policy/tier_guard.cc
+++ b/src/policy/tier_admission.cc
@@ -1,4 +1,4 @@
-#include "tier_guard.h"
+#include "tier_admission.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/policy/tier_guard.h
+++ b/src/policy/tier_admission.h
@@ -6,8 +6,8 @@
 // longer: in a burst of six times the traffic 74% of a tier are rejected while
 // one slot in ten goes to the tier below it. Therefore tiers less urgent than
 // one with rejections wait until those rejections end.
-#ifndef MEDLARWALK_TIER_GUARD_H_
-#define MEDLARWALK_TIER_GUARD_H_
+#ifndef MEDLARWALK_TIER_ADMISSION_H_
+#define MEDLARWALK_TIER_ADMISSION_H_
 
 #include <map>
 
@@ -64,4 +64,4 @@
 
 }  // namespace medlarwalk
 
-#endif  // MEDLARWALK_TIER_GUARD_H_
+#endif  // MEDLARWALK_TIER_ADMISSION_H_
--- a/src/policy/waiting.cc
+++ b/src/policy/waiting_queue.cc
@@ -1,4 +1,4 @@
-#include "waiting.h"
+#include "waiting_queue.h"
 
 #include <algorithm>
 
--- a/src/policy/waiting.h
+++ b/src/policy/waiting_queue.h
@@ -1,8 +1,8 @@
 // Queue of requests that wait for a slot at an upstream: decides which one is
 // served next and which one is rejected on arrival. Pure; callers pass the
 // current time.
-#ifndef MEDLARWALK_WAITING_H_
-#define MEDLARWALK_WAITING_H_
+#ifndef MEDLARWALK_WAITING_QUEUE_H_
+#define MEDLARWALK_WAITING_QUEUE_H_
 
 #include <cstdint>
 #include <deque>
@@ -100,4 +100,4 @@
 
 }  // namespace medlarwalk
 
-#endif  // MEDLARWALK_WAITING_H_
+#endif  // MEDLARWALK_WAITING_QUEUE_H_
--- a/src/replica.h
+++ b/src/replica.h
@@ -18,8 +18,8 @@
 
 #include "absl/status/status.h"
 #include "absl/strings/string_view.h"
+#include "conflating_sender.h"
 #include "duty_log.h"
-#include "newest_gate.h"
 #include "payload.h"
 #include "types.h"
 
--- a/test/policy/reading_gate_test.cc
+++ b/test/policy/prefill_limiter_test.cc
@@ -1,5 +1,5 @@
 // Tests of the limit of concurrent prefills of an entry.
-#include "reading_gate.h"
+#include "prefill_limiter.h"
 
 #include <deque>
 
@@ -7,13 +7,13 @@
 
 using namespace medlarwalk;
 
-TEST_GROUP(reading_gate){};
+TEST_GROUP(prefill_limiter){};
 
 // Failure: at the highest load every long prompt is late. Load pattern: 24
 // entries, 38 engines, prompts at 1.5 times the capacity; each entry uses a
 // single engine only every few seconds. The limit must fall until first events
 // are in time, and rise again only while it is reached.
-TEST(reading_gate, LimitFollowsFirstEventsOfAllEngines) {
+TEST(prefill_limiter, LimitFollowsFirstEventsOfAllEngines) {
   PrefillLimiterPolicy policy;
   PrefillLimiter limiter(policy);
   for (int i = 0; i < 100; ++i)
@@ -32,7 +32,7 @@
 // Failure: a class is rejected while a less urgent one is served. Load pattern:
 // both exceed the capacity at once. Less urgent prompts in flight must not
 // block more urgent ones; more urgent ones do block less urgent ones.
-TEST(reading_gate, LessUrgentPromptsDoNotBlockMoreUrgentOnes) {
+TEST(prefill_limiter, LessUrgentPromptsDoNotBlockMoreUrgentOnes) {
   PrefillLimiterPolicy policy;
   PrefillLimiter limiter(policy);
   while (limiter.MaySend(2)) limiter.RecordSent(2);
@@ -44,7 +44,7 @@
 }
 
 // A few late first events among many timely ones do not block prompts.
-TEST(reading_gate, FewLateFirstEventsDoNotBlockPrompts) {
+TEST(prefill_limiter, FewLateFirstEventsDoNotBlockPrompts) {
   PrefillLimiterPolicy policy;
   PrefillLimiter limiter(policy);
   for (int i = 0; i < 300; ++i) {
@@ -60,7 +60,7 @@
 // long. Cause: a limit that lets prompts queue at the engine for half of their
 // target keeps it in prefill without a break. The limit must keep that queue
 // short and the engine busy.
-TEST(reading_gate, KeepsTheQueueAtTheEngineShort) {
+TEST(prefill_limiter, KeepsTheQueueAtTheEngineShort) {
   constexpr auto kPrefillTime = Millis(100);
   constexpr auto kTarget = Millis(2000);
   constexpr auto kArrivalInterval = Millis(83);
--- a/test/policy/part_memory_test.cc
+++ b/test/policy/prefix_cache_index_test.cc
@@ -1,5 +1,5 @@
 // Tests of the table of prompt parts and the engines that hold them.
-#include "part_memory.h"
+#include "prefix_cache_index.h"
 
 #include "CppUTest/TestHarness.h"
 
@@ -15,13 +15,13 @@
 
 }  // namespace
 
-TEST_GROUP(part_memory){};
+TEST_GROUP(prefix_cache_index){};
 
 // Failure: the same parts are prefilled on one engine after another. The
 // longest leading run decides which engine to copy from: the engine of the
 // subject if it is known, else that of the document. The last part of a request
 // is never shared.
-TEST(part_memory, FindsTheLongestLeadingRun) {
+TEST(prefix_cache_index, FindsTheLongestLeadingRun) {
   PrefixCacheIndex m(std::chrono::seconds(10), 100);
   STRCMP_EQUAL("", m.FindLongestPrefix(Parts(1, 2, 3), kNow).engine.c_str());
   m.RecordPrefilled(Parts(1, 2, 3), "i-a", kNow);
@@ -36,7 +36,7 @@
 
 // Parts that are too old or at a terminated engine are ignored, and the table
 // stays bounded for any input.
-TEST(part_memory, RemovesOldPartsAndStaysBounded) {
+TEST(prefix_cache_index, RemovesOldPartsAndStaysBounded) {
   PrefixCacheIndex m(std::chrono::seconds(10), 100);
   m.RecordPrefilled(Parts(1, 2, 3), "i-a", kNow);
   STRCMP_EQUAL(
--- a/test/policy/tier_guard_test.cc
+++ b/test/policy/tier_admission_test.cc
@@ -1,10 +1,10 @@
 // Tests of admission by tier while a tier has rejections.
-#include "tier_guard.h"
+#include "tier_admission.h"
 
 #include <random>
 
 #include "CppUTest/TestHarness.h"
-#include "reading_gate.h"
+#include "prefill_limiter.h"
 
 using namespace medlarwalk;
 
@@ -15,14 +15,14 @@
 
 }  // namespace
 
-TEST_GROUP(tier_guard){};
+TEST_GROUP(tier_admission){};
 
 // Failure: 74% of a tier are rejected while the tier below it starts requests
 // every second. Load pattern: a burst of six times the traffic at one entry;
 // requests of tier 1 wait for 80 ms, those of tier 2 for 150 ms. Sequence: all
 // waiting requests of tier 1 expire; the next free slot finds only tier 2
 // waiting. A tier with rejections must block less urgent tiers.
-TEST(tier_guard, NoSlotGoesToALessUrgentTierDuringRejections) {
+TEST(tier_admission, NoSlotGoesToALessUrgentTierDuringRejections) {
   for (bool with_admission : {false, true}) {
     std::mt19937 random(7);
     TierAdmission admission(kPolicy);
@@ -66,7 +66,7 @@
 }
 
 // A tier with rejections does not block itself or more urgent tiers.
-TEST(tier_guard, SameAndMoreUrgentTiersContinue) {
+TEST(tier_admission, SameAndMoreUrgentTiersContinue) {
   TierAdmission admission(kPolicy);
   CHECK_TRUE(admission.Admits(5, kNow));
   for (int i = 0; i < 5; ++i) admission.RecordRejection(2, kNow);
@@ -82,7 +82,7 @@
 // Sequence: a burst of the tier above it has ended; that tier has no more
 // rejections or no more requests at all. The others must continue three seconds
 // after the last rejection.
-TEST(tier_guard, BlockEndsSoonAfterABurst) {
+TEST(tier_admission, BlockEndsSoonAfterABurst) {
   for (bool more_arrive : {false, true}) {
     TierAdmission admission(kPolicy);
     for (int i = 0; i < 500; ++i) admission.RecordRejection(0, kNow);
@@ -95,7 +95,7 @@
 }
 
 // One rejection among very many requests blocks nobody for long.
-TEST(tier_guard, OneRejectionAmongManyDoesNotBlock) {
+TEST(tier_admission, OneRejectionAmongManyDoesNotBlock) {
   TierAdmission admission(kPolicy);
   TimePoint now = kNow;
   for (int i = 0; i < 200; ++i) admission.RecordDispatch(0, now += Millis(10));
@@ -106,7 +106,7 @@
 
 // When the prefill limit is reached, only the least urgent prompts wait; more
 // urgent ones still find room.
-TEST(tier_guard, UrgentPromptsFindRoomAtThePrefillLimit) {
+TEST(tier_admission, UrgentPromptsFindRoomAtThePrefillLimit) {
   PrefillLimiterPolicy policy;
   PrefillLimiter limiter(policy);
   limiter.RecordSent(2);
--- a/test/policy/waiting_test.cc
+++ b/test/policy/waiting_queue_test.cc
@@ -1,7 +1,7 @@
 // Tests of the waiting queue: the serving order, and which requests are
 // rejected or shed. Rejection is immediate, never hits a tier for a less urgent
 // one, and no request starves.
-#include "waiting.h"
+#include "waiting_queue.h"
 
 #include <map>
 #include <random>
@@ -53,12 +53,12 @@
 
 }  // namespace
 
-TEST_GROUP(waiting){};
+TEST_GROUP(waiting_queue){};
 
 // Failure: a top-tier request is rejected while requests of a lower tier wait.
 // Sequence: the queue fills with low-tier requests, then a top-tier request
 // arrives. The queue must shed the lower tier.
-TEST(waiting, FullQueueShedsLowerTierNotHigher) {
+TEST(waiting_queue, FullQueueShedsLowerTierNotHigher) {
   Rig r(PolicyWithLimit(3));
   for (uint64_t i = 1; i <= 3; ++i) CHECK_TRUE(r.Enqueue(i, kLow).ok());
   CHECK_TRUE(r.Enqueue(4, kTop).ok());
@@ -72,7 +72,7 @@
   CHECK_FALSE(r.shed.has_value());
 }
 
-TEST(waiting, HigherTierGoesFirst) {
+TEST(waiting_queue, HigherTierGoesFirst) {
   Rig r({});
   CHECK_TRUE(r.Enqueue(1, kLow).ok());
   r.clock.Advance(Millis(1));
@@ -82,7 +82,7 @@
 }
 
 // Guards the baseline of comparisons, which ignores tiers.
-TEST(waiting, WithoutTiersServesInArrivalOrder) {
+TEST(waiting_queue, WithoutTiersServesInArrivalOrder) {
   WaitingPolicy p;
   p.tier_order = false;
   Rig r(p);
@@ -94,7 +94,7 @@
 // Failure: the lowest class gets no answer while the top class is busy.
 // Sequence: the top tier takes every slot for longer than the starvation bound.
 // One slot in floor_interval must go to the starving request.
-TEST(waiting, StarvingLowTierGetsFloorSlots) {
+TEST(waiting_queue, StarvingLowTierGetsFloorSlots) {
   WaitingPolicy p;
   p.starvation_bound = Millis(1000);
   p.floor_interval = 4;
@@ -116,7 +116,7 @@
 // Sequence: the top tier takes every slot for longer than the target of the
 // lower one. Cause: starvation is judged only by a bound of seconds, which
 // exceeds that target. It must also depend on the maximum wait of the request.
-TEST(waiting, ShortMaximumWaitStarvesSooner) {
+TEST(waiting_queue, ShortMaximumWaitStarvesSooner) {
   WaitingPolicy p;
   p.starvation_bound = std::chrono::seconds(4);
   Rig r(p);
@@ -142,7 +142,7 @@
 // Failure: a caller waits almost until its deadline and is rejected then.
 // Cause: expired requests are noticed late. A request must expire at the
 // moment its maximum wait ends.
-TEST(waiting, ExpiredRequestIsReportedAtItsDeadline) {
+TEST(waiting_queue, ExpiredRequestIsReportedAtItsDeadline) {
   Rig r({});
   CHECK_TRUE(r.Enqueue(1, kTop, Millis(500)).ok());
   r.clock.Advance(Millis(499));
@@ -157,7 +157,7 @@
 // Failure: a request waits for its whole maximum wait and is rejected then,
 // although the queue ahead could not empty in time. It must be rejected on
 // arrival.
-TEST(waiting, UnmeetableTargetIsRejectedOnArrival) {
+TEST(waiting_queue, UnmeetableTargetIsRejectedOnArrival) {
   WaitingPolicy p;
   p.reject_unmeetable = true;
   Rig r(p);
@@ -178,7 +178,7 @@
 // waits; (2) every admitted request is served, expired or shed exactly once:
 // never twice, never lost; (3) no low-tier request waits longer than the
 // starvation bound plus the delay until its floor slot.
-TEST(waiting, DifferentialAgainstArrivalOrderOnRandomTraces) {
+TEST(waiting_queue, DifferentialAgainstArrivalOrderOnRandomTraces) {
   for (uint64_t seed = 1; seed <= 40; ++seed) {
     std::mt19937_64 rng(seed);
     WaitingPolicy p = PolicyWithLimit(20);
@@ -248,7 +248,7 @@
 // free slots for ten seconds; a first event comes 0.6 of the target after its
 // slot. Cause: a long maximum wait keeps the queue full, and each dispatched
 // request has spent the time that its answer needs.
-TEST(waiting, OverloadDoesNotMakeEveryAnswerLate) {
+TEST(waiting_queue, OverloadDoesNotMakeEveryAnswerLate) {
   constexpr auto kTarget = Millis(1000);
   constexpr auto kFirstEvent = Millis(600);
   WaitingPolicy policy;
