--- a/src/crash_watch.cc
+++ b/src/crash_watch.cc
@@ -18,10 +18,10 @@
 
 void CrashWatch::RecordInterruptedCall(const std::string& upstream,
                                        const InterruptedCall& call) {
-  const UpstreamBoard* u = pool_.Find(upstream);
+  const UpstreamState* u = pool_.Find(upstream);
   // Interruptions by a draining upstream are ignored: it may terminate with
   // requests in flight that are not the cause.
-  if (!u || u->info.leaving) return;
+  if (!u || u->info.draining) return;
   suspects_[upstream].calls.push_back(call);
 }
 
@@ -39,7 +39,7 @@
 void CrashWatch::OnListUpdate() {
   std::vector<std::string> unlisted;
   for (const auto& [upstream, s] : suspects_) {
-    const UpstreamBoard* u = pool_.Find(upstream);
+    const UpstreamState* u = pool_.Find(upstream);
     if (!u || !u->listed) unlisted.push_back(upstream);
   }
   for (const std::string& id : unlisted) RecordTermination(id, "unlisted");
@@ -49,7 +49,7 @@
   std::vector<std::string> refused;
   for (auto it = suspects_.begin(); it != suspects_.end();) {
     Suspect& s = it->second;
-    const UpstreamBoard* u = pool_.Find(it->first);
+    const UpstreamState* u = pool_.Find(it->first);
     // The probe starts at the second tick. By then, the pool has noticed
     // whether its idle connections closed together with the interrupted one.
     if (u && !s.probe && s.seen_by_tick) {
--- a/src/gateway_failure.cc
+++ b/src/gateway_failure.cc
@@ -55,7 +55,8 @@
   if (quarantine_.Refuses(r.fingerprint)) return false;
   // Waiting for a slot helps only if there is an upstream that the request has
   // not tried.
-  bool upstream_left = AnyLeft(pool_.boards(), PlacementInputFor(r));
+  bool upstream_left =
+      HasUntriedUpstream(pool_.upstreams(), PlacementRequestFor(r));
   if (end == CallEnd::kNotSent) {
     // Nothing reached the upstream, so the failure costs neither an attempt nor
     // retry budget.
@@ -66,7 +67,7 @@
   if (!not_run && !r.repeatable()) return false;
   if (r.sends >= r.route->max_attempts || !upstream_left) return false;
   if (!RetryBudgetFor(r.service->name)
-           .Take(options_.retry, entry_count_, now)) {
+           .TryConsume(options_.retry, entry_count_, now)) {
     metrics_.CountRetry("budget_spent");
     return false;
   }
@@ -137,11 +138,11 @@
                                   absl::string_view why) {
   TimePoint now = clock_.Now();
   bool not_run = r.have_head && r.answer_facts.not_run;
-  if (UpstreamBoard* u = pool_.Find(r.upstream)) {
-    NoteFailure(*u, now, end != CallEnd::kWhole, options_.placement);
-    if (r.have_head && r.answer_facts.other_upstream && !u->ended) {
-      u->ended = true;
-      prefix_holders_.Forget(u->info.id);
+  if (UpstreamState* u = pool_.Find(r.upstream)) {
+    RecordFailure(*u, now, end != CallEnd::kWhole, options_.placement);
+    if (r.have_head && r.answer_facts.other_upstream && !u->terminated) {
+      u->terminated = true;
+      prefix_cache_index_.RemoveEngine(u->info.id);
       LogEvent("upstream_ended", {{"upstream", u->info.id}});
     }
   }
@@ -182,7 +183,7 @@
 
 Duration Gateway::ComputeRetryAfter(const Request& r, ErrorKind kind) {
   if (kind == ErrorKind::kQuarantined) {
-    return quarantine_.RefusedFor(r.fingerprint, clock_.Now());
+    return quarantine_.RemainingQuarantine(r.fingerprint, clock_.Now());
   }
   // Other entry processes can serve the caller, so there is no need to wait.
   if (kind == ErrorKind::kDraining) return kDrainRetryAfter;
@@ -202,7 +203,8 @@
   // ends.
   Duration backoff{};
   if (r.service) {
-    backoff = RestLeft(pool_.boards(), r.service->name, clock_.Now());
+    backoff =
+        RemainingBackoff(pool_.upstreams(), r.service->name, clock_.Now());
   }
   if (backoff > Duration::zero()) seconds = kMinRetryAfterSeconds;
   return backoff + BoundedSeconds(seconds * spread(random_));
@@ -214,10 +216,10 @@
 // outage until the guard forgets them.
 void Gateway::RecordCapacityRejection(const Request& r) {
   TimePoint now = clock_.Now();
-  NoPlaceCounts n = CountNoPlace(pool_.boards(), PlacementInputFor(r), now,
-                                 options_.placement);
+  AvailabilityCounts n = CountAvailability(
+      pool_.upstreams(), PlacementRequestFor(r), now, options_.placement);
   if (n.unusable == n.upstreams) return;
-  TierGuardFor(r.service->name).NoteTurnedAway(r.tier, now);
+  TierAdmissionFor(r.service->name).RecordRejection(r.tier, now);
 }
 
 // Sends the final answer of a request for which there is no upstream's answer.
--- a/src/policy/newest_gate.h
+++ b/src/policy/conflating_sender.h
@@ -1,8 +1,8 @@
 // Limits the bytes of configurations that are being committed. Load pattern:
 // operators or a program in a loop submit changes of hundreds of kilobytes
 // faster than the links carry them; each change replaces the earlier ones.
-#ifndef MEDLARWALK_NEWEST_GATE_H_
-#define MEDLARWALK_NEWEST_GATE_H_
+#ifndef MEDLARWALK_CONFLATING_SENDER_H_
+#define MEDLARWALK_CONFLATING_SENDER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -20,7 +20,7 @@
 // pending change gets the result of the newest, since a change that was
 // replaced never takes effect separately. Pure except for `send`. Thread
 // safety: loop thread only.
-class NewestGate {
+class ConflatingSender {
  public:
   using Done = std::function<void(absl::Status)>;
   // Sends one change. An implementation must call the passed Done exactly once,
@@ -29,15 +29,15 @@
 
   // `max_in_flight_bytes`: a change of any size is sent if fewer bytes than
   // this are in flight.
-  NewestGate(size_t max_in_flight_bytes, Send send)
+  ConflatingSender(size_t max_in_flight_bytes, Send send)
       : max_in_flight_bytes_(max_in_flight_bytes), send_(std::move(send)) {}
-  NewestGate(const NewestGate&) = delete;
-  NewestGate& operator=(const NewestGate&) = delete;
+  ConflatingSender(const ConflatingSender&) = delete;
+  ConflatingSender& operator=(const ConflatingSender&) = delete;
 
   // Sends the change or keeps it pending. Calls `done` with the result of this
   // change or of the change that replaced it. Of several pending changes with
   // the same version, the first is kept.
-  void Offer(int64_t version, Document document, Done done);
+  void SendOrHold(int64_t version, Document document, Done done);
   // Returns the number of bytes in flight and pending.
   size_t bytes() const {
     return in_flight_bytes_ +
@@ -63,4 +63,4 @@
 
 }  // namespace medlarwalk
 
-#endif  // MEDLARWALK_NEWEST_GATE_H_
+#endif  // MEDLARWALK_CONFLATING_SENDER_H_
--- a/src/policy/reading_gate.h
+++ b/src/policy/prefill_limiter.h
@@ -8,8 +8,8 @@
 // Therefore the limit follows the first events of all engines together: each
 // late first event lowers it, and each timely one raises it while the number of
 // prompts is at the limit.
-#ifndef MEDLARWALK_READING_GATE_H_
-#define MEDLARWALK_READING_GATE_H_
+#ifndef MEDLARWALK_PREFILL_LIMITER_H_
+#define MEDLARWALK_PREFILL_LIMITER_H_
 
 #include <algorithm>
 #include <map>
@@ -19,12 +19,12 @@
 namespace medlarwalk {
 
 // Parameters of the prefill limit.
-struct ReadingGatePolicy {
-  double start = 16;  // Initial limit, in prompts.
+struct PrefillLimiterPolicy {
+  double initial_limit = 16;  // Initial limit, in prompts.
   // Lower bound of the limit, in prompts. It is above 0 because an entry that
   // sends no prompts cannot observe any first events.
-  double least = 2;
-  double most = 512;  // Upper bound of the limit, in prompts.
+  double min_limit = 2;
+  double max_limit = 512;  // Upper bound of the limit, in prompts.
   // A first event is late if it took more than this share of its latency
   // target. An engine that always has a prompt to prefill adds a chunk of it to
   // every decoding step. Each token then takes ten times as long, and streams
@@ -43,15 +43,15 @@
 
 // Adaptive limit of concurrent prefills of one service. Thread safety: loop
 // thread only.
-class ReadingGate {
+class PrefillLimiter {
  public:
-  explicit ReadingGate(const ReadingGatePolicy& policy)
-      : policy_(policy), limit_(policy.start) {}
+  explicit PrefillLimiter(const PrefillLimiterPolicy& policy)
+      : policy_(policy), limit_(policy.initial_limit) {}
 
   // Returns whether a prompt of `tier` may be sent. Less urgent prompts in
   // flight do not count against the limit, so that they never block a more
   // urgent one.
-  bool open(Tier tier) const {
+  bool MaySend(Tier tier) const {
     int n = 0;
     for (const auto& [t, count] : in_flight_) {
       if (t <= tier) n += count;
@@ -63,34 +63,34 @@
     return n < static_cast<int>(tier_limit);
   }
   // Records that a prompt of `tier` was sent.
-  void Sent(Tier tier) { ++in_flight_[tier]; }
+  void RecordSent(Tier tier) { ++in_flight_[tier]; }
   // Records that the prefill of a prompt of `tier` ended, or that its request
   // ended.
-  void Ended(Tier tier) { --in_flight_[tier]; }
+  void RecordPrefillEnd(Tier tier) { --in_flight_[tier]; }
   // Records a first event that came `took` after its prompt was sent; `target`:
   // its latency target.
-  void NoteFirstEvent(Duration took, Duration target) {
+  void RecordFirstEvent(Duration took, Duration target) {
     double share = ToSeconds(took) / std::max(1e-3, ToSeconds(target));
     if (share > policy_.late_share) {
-      limit_ = std::max(policy_.least, limit_ * policy_.backoff_factor);
-    } else if (under_way() + 1 >= static_cast<int>(limit_)) {
-      limit_ = std::min(policy_.most, limit_ + policy_.limit_step);
+      limit_ = std::max(policy_.min_limit, limit_ * policy_.backoff_factor);
+    } else if (in_flight() + 1 >= static_cast<int>(limit_)) {
+      limit_ = std::min(policy_.max_limit, limit_ + policy_.limit_step);
     }
   }
   double limit() const { return limit_; }
   // Returns the number of prompts in flight.
-  int under_way() const {
+  int in_flight() const {
     int n = 0;
     for (const auto& [t, count] : in_flight_) n += count;
     return n;
   }
 
  private:
-  ReadingGatePolicy policy_;
+  PrefillLimiterPolicy policy_;
   double limit_;
   std::map<Tier, int> in_flight_;
 };
 
 }  // namespace medlarwalk
 
-#endif  // MEDLARWALK_READING_GATE_H_
+#endif  // MEDLARWALK_PREFILL_LIMITER_H_
--- a/src/policy/part_memory.h
+++ b/src/policy/prefix_cache_index.h
@@ -1,8 +1,8 @@
 // Records which engine last prefilled a prompt part. The result is only a hint:
 // an engine evicts parts when its memory fills, and other entries send prompts
 // to it as well.
-#ifndef MEDLARWALK_PART_MEMORY_H_
-#define MEDLARWALK_PART_MEMORY_H_
+#ifndef MEDLARWALK_PREFIX_CACHE_INDEX_H_
+#define MEDLARWALK_PREFIX_CACHE_INDEX_H_
 
 #include <cstdint>
 #include <string>
@@ -22,28 +22,29 @@
 
 // Table of prompt parts and the engines that hold them. Thread safety: loop
 // thread only.
-class PartMemory {
+class PrefixCacheIndex {
  public:
   // `lifetime`: time after which a recorded part is ignored. `max_parts`:
   // maximum number of recorded parts.
-  PartMemory(Duration lifetime, size_t max_parts)
+  PrefixCacheIndex(Duration lifetime, size_t max_parts)
       : lifetime_(lifetime), max_parts_(max_parts) {}
 
   // Records that `engine` has just prefilled all of `parts`.
-  void Note(absl::Span<const PromptPart> parts, const std::string& engine,
-            TimePoint now);
+  void RecordPrefilled(absl::Span<const PromptPart> parts,
+                       const std::string& engine, TimePoint now);
   // Removes all parts of `engine`, which terminated or lost its memory.
-  void Forget(const std::string& engine);
+  void RemoveEngine(const std::string& engine);
   // An engine and the number of leading parts of a prompt that it holds.
-  struct Holding {
+  struct PrefixMatch {
     std::string engine;  // "" if no engine is known to hold any part.
     size_t parts = 0;    // Number of leading parts that the engine holds.
   };
   // Returns the engine that holds the longest leading run of `parts`. The last
   // part belongs to the request alone and is ignored.
-  Holding Holder(absl::Span<const PromptPart> parts, TimePoint now) const;
+  PrefixMatch FindLongestPrefix(absl::Span<const PromptPart> parts,
+                                TimePoint now) const;
   // Removes expired parts.
-  void Tick(TimePoint now);
+  void RemoveExpired(TimePoint now);
   size_t size() const { return seen_.size(); }
 
  private:
@@ -58,4 +59,4 @@
 
 }  // namespace medlarwalk
 
-#endif  // MEDLARWALK_PART_MEMORY_H_
+#endif  // MEDLARWALK_PREFIX_CACHE_INDEX_H_
--- a/src/policy/routing_config.h
+++ b/src/policy/routing_config.h
@@ -36,9 +36,9 @@
   std::string host;
   std::string path_prefix;  // Begins and ends with a slash.
   RequestKind kind = RequestKind::kOnce;
-  Duration timeout{};         // Time until the final answer.
-  Duration latency_target{};  // For streams: time until the first event.
-  Duration pause_target{};    // For streams: longest gap between events.
+  Duration timeout{};           // Time until the final answer.
+  Duration latency_target{};    // For streams: time until the first event.
+  Duration event_gap_target{};  // For streams: longest gap between events.
   Tier tier = 0;
   std::vector<WeightedService> services;
   // Maximum number of sends to upstreams per caller attempt.
--- a/src/replica.h
+++ b/src/replica.h
@@ -18,8 +18,8 @@
 
 #include "absl/status/status.h"
 #include "absl/strings/string_view.h"
+#include "conflating_sender.h"
 #include "duty_log.h"
-#include "newest_gate.h"
 #include "payload.h"
 #include "types.h"
 
@@ -336,7 +336,7 @@
   // Index of the first entry of this leader's term.
   uint64_t term_start_index_ = 0;
   std::vector<Waiter> waiters_;
-  NewestGate config_proposals_;
+  ConflatingSender config_proposals_;
   TimePoint join_sent_at_{};
   size_t next_join_target_ = 0;
   std::vector<Member> join_hints_;  // Members from the last join reply.
