--- a/fuzz/configuration.cc
+++ b/fuzz/configuration.cc
@@ -7,7 +7,7 @@
   using namespace medlarwalk;
   absl::string_view text = fuzzing::Text(data, size);
   absl::StatusOr<RoutingConfig> c = platform::DecodeConfig(text);
-  absl::StatusOr<int64_t> version = platform::ConfigVersion(text);
+  absl::StatusOr<int64_t> version = platform::DecodeConfigVersion(text);
   MEDLARWALK_EXPECT(c.ok() == version.ok());
   if (!c.ok()) {
     MEDLARWALK_EXPECT(!c.status().message().empty());
--- a/fuzz/event_stream.cc
+++ b/fuzz/event_stream.cc
@@ -19,7 +19,7 @@
     size_t n = std::min(read_size, bytes.size());
     MEDLARWALK_EXPECT(
         splitter.Feed(bytes.substr(0, n), [&](absl::string_view e) {
-          EventId(e);
+          ParseEventId(e);
           out.emplace_back(e);
           return true;
         }));
--- a/fuzz/headers.cc
+++ b/fuzz/headers.cc
@@ -24,7 +24,7 @@
   }
   absl::StatusOr<RequestFacts> f = dialect.read_request(head, "");
   if (f.ok()) {
-    if (f->patience) MEDLARWALK_EXPECT(*f->patience >= Duration::zero());
+    if (f->time_limit) MEDLARWALK_EXPECT(*f->time_limit >= Duration::zero());
     ForwardFacts forward;
     forward.upstream_id = "i-1";
     OutgoingRequest out = dialect.write_request(head, forward, "");
@@ -36,6 +36,6 @@
   AnswerFacts a = dialect.read_answer(head);
   if (a.has_load) MEDLARWALK_EXPECT(a.running >= 0 && a.waiting >= 0);
   if (a.limit_per_s) MEDLARWALK_EXPECT(*a.limit_per_s >= 0);
-  MEDLARWALK_EXPECT(a.rest >= Duration::zero());
+  MEDLARWALK_EXPECT(a.backoff >= Duration::zero());
   return 0;
 }
--- a/fuzz/http1.cc
+++ b/fuzz/http1.cc
@@ -44,7 +44,7 @@
   if (status.ok() && !parser.done()) status = parser.FeedEof();
   MEDLARWALK_EXPECT(!complete || parser.done());
   if (!status.ok()) return absl::StrCat("refused ", parser.head_done());
-  EndName(parser.end_known_by());
+  EndDetectionName(parser.end_detection());
   return absl::StrCat(heads_text, "\n", body_text, "\n", complete);
 }
 
--- a/fuzz/own_api.cc
+++ b/fuzz/own_api.cc
@@ -1,5 +1,6 @@
-// Fuzz target: requests to medlarwalk's own API. The input is the target in the
-// first line, then header lines up to an empty line, then the body.
+// Fuzz target: requests to the native API of medlarwalk. The input is the
+// target in the first line, then header lines up to an empty line, then the
+// body.
 #include "own_api.h"
 
 #include <memory>
@@ -13,7 +14,7 @@
   using namespace medlarwalk;
   static const auto settings = std::make_shared<const Settings>(
       *ParseSettings(DefaultSettingsJson(20000)));
-  static const Dialect dialect = OwnDialect(settings, "entry-1");
+  static const Dialect dialect = NativeApiDialect(settings, "entry-1");
   std::pair<absl::string_view, absl::string_view> message =
       absl::StrSplit(fuzzing::Text(data, size), absl::MaxSplits("\n\n", 1));
   MessageHead head;
@@ -29,7 +30,7 @@
   }
   absl::StatusOr<RequestFacts> f = dialect.read_request(head, message.second);
   if (!f.ok()) return 0;
-  MEDLARWALK_EXPECT(f->prompt_tokens >= 0 && f->most_output_tokens >= 0);
+  MEDLARWALK_EXPECT(f->prompt_tokens >= 0 && f->max_output_tokens >= 0);
   dialect.write_request(head, ForwardFacts{}, message.second);
   return 0;
 }
--- a/fuzz/process_settings.cc
+++ b/fuzz/process_settings.cc
@@ -12,6 +12,6 @@
   }
   MEDLARWALK_EXPECT(!s->name.empty() && !s->ip.empty());
   MEDLARWALK_EXPECT(s->last_port > s->first_port);
-  s->PeerSeeds();
+  s->SeedPeerAddresses();
   return 0;
 }
--- a/fuzz/settings.cc
+++ b/fuzz/settings.cc
@@ -1,5 +1,5 @@
 // Fuzz target: the settings file. Parsing returns an error with a message, or
-// settings that the router of medlarwalk's own API can use.
+// settings that the router of the native API of medlarwalk can use.
 #include "settings.h"
 
 #include "fuzz/fuzz.h"
@@ -12,10 +12,10 @@
     MEDLARWALK_EXPECT(!s.status().message().empty());
     return 0;
   }
-  OwnRouting(*s);
+  RoutingFromSettings(*s);
   for (const UpstreamSettings& u : s->upstreams) {
     MEDLARWALK_EXPECT(s->FindHost(u.agent) != nullptr);
   }
-  OwnUpstreams(*s);
+  UpstreamsFromSettings(*s);
   return 0;
 }
--- a/fuzz/wire.cc
+++ b/fuzz/wire.cc
@@ -59,8 +59,9 @@
       RoundTrip(bytes, DecodeWatchRequest, EncodeWatchRequest);
       break;
     case 2:
-      RoundTrip(bytes, DecodeWatchReply,
-                [](const WatchReply& r) { return EncodeWatchReply(r).Rest(); });
+      RoundTrip(bytes, DecodeWatchReply, [](const WatchReply& r) {
+        return EncodeWatchReply(r).CopyRemaining();
+      });
       break;
     case 3:
       RoundTrip(
--- a/src/agent.cc
+++ b/src/agent.cc
@@ -31,22 +31,23 @@
 
 HeaderList ErrorHeaders(ErrorKind kind, bool started) {
   HeaderList h = {{"content-type", "application/json"},
-                  {kH2ErrorKind, std::string(AnswerFor(kind).code)},
+                  {kH2ErrorKind, std::string(ErrorAnswerFor(kind).code)},
                   {kH2Started, started ? "1" : "0"}};
-  if (AnswerFor(kind).retry_after) {
+  if (ErrorAnswerFor(kind).retry_after) {
     h.emplace_back("retry-after", std::to_string(kRetryAfterSeconds));
   }
   return h;
 }
 
 std::string ErrorBody(ErrorKind kind, absl::string_view message) {
-  return json{{"error", {{"code", AnswerFor(kind).code}, {"message", message}}}}
+  return json{
+      {"error", {{"code", ErrorAnswerFor(kind).code}, {"message", message}}}}
       .dump();
 }
 
 void RespondWithError(H2Stream& out, ErrorKind kind, absl::string_view message,
                       bool started = false) {
-  out.Respond(AnswerFor(kind).http_status, ErrorHeaders(kind, started),
+  out.Respond(ErrorAnswerFor(kind).http_status, ErrorHeaders(kind, started),
               ErrorBody(kind, message));
 }
 
@@ -151,7 +152,7 @@
   std::string name = req.Header(kH2Upstream);
   const UpstreamSettings* u = settings_.FindUpstream(name);
   if (!u || u->agent != host_->name) {
-    metrics_.CountRefusal(AnswerFor(ErrorKind::kNoUpstream).code);
+    metrics_.CountRejection(ErrorAnswerFor(ErrorKind::kNoUpstream).code);
     RespondWithError(
         *out, ErrorKind::kNoUpstream,
         absl::StrCat("upstream '", name, "' is not beside this agent"));
@@ -162,7 +163,7 @@
     return;
   }
   if (draining_) {
-    metrics_.CountRefusal(AnswerFor(ErrorKind::kDraining).code);
+    metrics_.CountRejection(ErrorAnswerFor(ErrorKind::kDraining).code);
     RespondWithError(*out, ErrorKind::kDraining, "agent is stopping");
     return;
   }
@@ -193,7 +194,7 @@
     case LedgerKeyState::kNew:
       return false;
     case LedgerKeyState::kCompleted:
-      metrics_.CountRefusal("replayed");
+      metrics_.CountRejection("replayed");
       out->Respond(entry->http_status,
                    {{"content-type", "application/json"},
                     {kH2Started, "1"},
@@ -201,17 +202,17 @@
                    entry->body);
       return true;
     case LedgerKeyState::kRunning:
-      metrics_.CountRefusal(AnswerFor(ErrorKind::kStillRunning).code);
+      metrics_.CountRejection(ErrorAnswerFor(ErrorKind::kStillRunning).code);
       RespondWithError(*out, ErrorKind::kStillRunning,
                        "request with this key is running", true);
       return true;
     case LedgerKeyState::kMayHaveRun:
-      metrics_.CountRefusal(AnswerFor(ErrorKind::kOutcomeUnknown).code);
+      metrics_.CountRejection(ErrorAnswerFor(ErrorKind::kOutcomeUnknown).code);
       RespondWithError(*out, ErrorKind::kOutcomeUnknown,
                        "started before a restart; not run again", true);
       return true;
     case LedgerKeyState::kKeyReused:
-      metrics_.CountRefusal(AnswerFor(ErrorKind::kKeyReused).code);
+      metrics_.CountRejection(ErrorAnswerFor(ErrorKind::kKeyReused).code);
       RespondWithError(*out, ErrorKind::kKeyReused,
                        "key was used for another request");
       return true;
@@ -272,10 +273,10 @@
     if (!r.status.ok() && r.never_sent) {
       LogEvent("not_run", {{"upstream", name},
                            {"error", std::string(r.status.message())}});
-      metrics_.CountRefusal(AnswerFor(ErrorKind::kNotRun).code);
+      metrics_.CountRejection(ErrorAnswerFor(ErrorKind::kNotRun).code);
       RespondWithError(*forwarded->out, ErrorKind::kNotRun, r.status.message());
     } else if (!complete) {
-      metrics_.CountRefusal(AnswerFor(ErrorKind::kOutcomeUnknown).code);
+      metrics_.CountRejection(ErrorAnswerFor(ErrorKind::kOutcomeUnknown).code);
       LogWarn("upstream_cut",
               {{"upstream", name}, {"error", std::string(r.status.message())}});
       if (!forwarded->relaying) {
@@ -332,7 +333,7 @@
       headers.emplace_back(kH2UpstreamEnd, termination.id);
     }
     interrupted_call.out->Respond(
-        AnswerFor(ErrorKind::kOutcomeUnknown).http_status, headers,
+        ErrorAnswerFor(ErrorKind::kOutcomeUnknown).http_status, headers,
         ErrorBody(ErrorKind::kOutcomeUnknown, reason));
   };
   client_.Start(std::move(check));
@@ -348,7 +349,7 @@
   int64_t fencing = std::atoll(req.Header(kH2Fencing).c_str());
   int64_t& highest = highest_fencing_[u.name];
   if (fencing < highest) {
-    metrics_.CountRefusal(AnswerFor(ErrorKind::kStaleFencing).code);
+    metrics_.CountRejection(ErrorAnswerFor(ErrorKind::kStaleFencing).code);
     RespondWithError(*out, ErrorKind::kStaleFencing,
                      absl::StrCat("fencing ", fencing, " is below ", highest));
     return;
--- a/src/agent_link.cc
+++ b/src/agent_link.cc
@@ -42,11 +42,11 @@
 
 void AgentLink::OnStreamClose(const absl::Status& status, bool never_sent) {
   if (status.ok() && head_received_) {
-    EndCall(CallEnd::kWhole, EndName(EndKnownBy::kStreamEnd));
+    EndCall(CallEnd::kWhole, EndDetectionName(EndDetection::kStreamEnd));
   } else if (never_sent) {
     EndCall(CallEnd::kNotSent, status.message());
   } else {
-    EndCall(head_received_ ? CallEnd::kBrokenOff : CallEnd::kNoAnswer,
+    EndCall(head_received_ ? CallEnd::kInterrupted : CallEnd::kNoAnswer,
             status.message());
   }
 }
--- a/src/agent_link.h
+++ b/src/agent_link.h
@@ -29,7 +29,7 @@
   bool sent() const override { return sent_; }
   // Has no effect: this process buffers what a slow caller has not read yet.
   // Flow control can be omitted because agents are few and close by.
-  void PauseRead(bool) override {}
+  void SetReadPaused(bool) override {}
   TimePoint idle_since() const override { return {}; }
   Duration keep_for() const override { return {}; }
 
--- a/src/base/errors.cc
+++ b/src/base/errors.cc
@@ -13,7 +13,7 @@
 // Indexed by ErrorKind. 503 asks the caller to retry later and always carries
 // Retry-After. 409 is a conflict: on the idempotency key, or a stale fencing
 // number. 502 is an upstream failure after the request may have started.
-constexpr std::array<Answer, kErrorKindCount> kAnswers = {{
+constexpr std::array<ErrorAnswer, kErrorKindCount> kAnswers = {{
     {400, "bad_request", false, true},
     {403, "unknown_account", false, true},
     {403, "unknown_class", false, true},
@@ -68,17 +68,17 @@
 
 }  // namespace
 
-const Answer& AnswerFor(ErrorKind kind) {
+const ErrorAnswer& ErrorAnswerFor(ErrorKind kind) {
   return kAnswers[static_cast<size_t>(kind)];
 }
 
 absl::Status MakeError(ErrorKind kind, absl::string_view message) {
   absl::Status status(StatusCodeFor(kind), message);
-  status.SetPayload(kPayloadUrl, absl::Cord(AnswerFor(kind).code));
+  status.SetPayload(kPayloadUrl, absl::Cord(ErrorAnswerFor(kind).code));
   return status;
 }
 
-ErrorKind KindOf(const absl::Status& status) {
+ErrorKind ErrorKindOf(const absl::Status& status) {
   auto payload = status.GetPayload(kPayloadUrl);
   if (!payload) return ErrorKind::kInternal;
   return KindFromCode(std::string(*payload));
--- a/src/base/errors.h
+++ b/src/base/errors.h
@@ -43,7 +43,7 @@
     static_cast<int>(ErrorKind::kInternal) + 1;
 
 // The answer that a caller gets for one error kind.
-struct Answer {
+struct ErrorAnswer {
   int http_status;
   absl::string_view code;  // Stable machine-readable code; metric label.
   bool retry_after;        // Whether a Retry-After header is sent.
@@ -51,14 +51,14 @@
 };
 
 // Returns the answer for `kind`. Thread safe.
-const Answer& AnswerFor(ErrorKind kind);
+const ErrorAnswer& ErrorAnswerFor(ErrorKind kind);
 
 // Returns a status that carries `kind` and a human-readable `message`.
 absl::Status MakeError(ErrorKind kind, absl::string_view message);
 
 // Returns the kind carried by `status`; kInternal when it carries none.
 // Precondition: `status` is not ok.
-ErrorKind KindOf(const absl::Status& status);
+ErrorKind ErrorKindOf(const absl::Status& status);
 
 // Returns the kind whose code is `code`; kInternal when none matches.
 ErrorKind KindFromCode(absl::string_view code);
--- a/src/base/json_numbers.h
+++ b/src/base/json_numbers.h
@@ -15,7 +15,7 @@
 // nlohmann::json::exception if `j` is not a number or is out of the range of
 // Int.
 template <typename Int>
-Int WholeNumber(const nlohmann::json& j) {
+Int IntegerFromJson(const nlohmann::json& j) {
   constexpr Int kMin = std::numeric_limits<Int>::min();
   constexpr Int kMax = std::numeric_limits<Int>::max();
   bool fits = false;
@@ -43,9 +43,10 @@
 // none. Throws nlohmann::json::exception if the member is not a number or is
 // out of the range of Int.
 template <typename Int>
-Int WholeNumber(const nlohmann::json& j, const char* name, Int default_value) {
+Int IntegerFromJson(const nlohmann::json& j, const char* name,
+                    Int default_value) {
   auto it = j.find(name);
-  return it == j.end() ? default_value : WholeNumber<Int>(*it);
+  return it == j.end() ? default_value : IntegerFromJson<Int>(*it);
 }
 
 }  // namespace medlarwalk
--- a/src/base/metrics.cc
+++ b/src/base/metrics.cc
@@ -92,7 +92,7 @@
   loop_iterations_ = LoopIterationHistogram(prefix, *registry_);
 }
 
-void Metrics::CountRefusal(absl::string_view reason) {
+void Metrics::CountRejection(absl::string_view reason) {
   rejections_->Add({{"reason", std::string(reason)}}).Increment();
 }
 
@@ -127,15 +127,15 @@
   list_age_->Add({}, LatencyBuckets()).Observe(seconds);
 }
 
-void Metrics::CountCrash(absl::string_view how) {
+void Metrics::CountUpstreamTermination(absl::string_view how) {
   upstream_terminations_->Add({{"how", std::string(how)}}).Increment();
 }
 
-void Metrics::CountLimitTold() { stated_limits_->Increment(); }
+void Metrics::CountStatedLimit() { stated_limits_->Increment(); }
 
-void Metrics::CountRest() { backoffs_->Increment(); }
+void Metrics::CountRequestedBackoff() { backoffs_->Increment(); }
 
-void Metrics::SetLimited(size_t n) {
+void Metrics::SetLimitedUpstreams(size_t n) {
   limited_upstreams_->Set(static_cast<double>(n));
 }
 
@@ -186,11 +186,11 @@
       .Observe(seconds);
 }
 
-void ControlMetrics::CountWatch(absl::string_view what) {
+void ControlMetrics::CountAnsweredWatch(absl::string_view what) {
   watches_->Add({{"told", std::string(what)}}).Increment();
 }
 
-void ControlMetrics::CountListTold(absl::string_view how, size_t bytes) {
+void ControlMetrics::CountPublishedList(absl::string_view how, size_t bytes) {
   prometheus::Labels labels = {{"how", std::string(how)}};
   lists_->Add(labels).Increment();
   list_bytes_->Add(labels).Increment(static_cast<double>(bytes));
@@ -202,7 +202,7 @@
       .Increment();
 }
 
-void ControlMetrics::Set(const State& s) {
+void ControlMetrics::SetState(const State& s) {
   auto set = [this](const char* what, double value) {
     state_->Add({{"what", what}}).Set(value);
   };
@@ -212,7 +212,7 @@
   set("voters", static_cast<double>(s.voters));
   set("followers", static_cast<double>(s.followers));
   set("quarantined", static_cast<double>(s.quarantined));
-  set("step_age_seconds", s.step_age_s);
+  set("step_age_seconds", s.in_sync_age_s);
   set("list_age_seconds", s.list_age_s);
   set("config_bytes", static_cast<double>(s.memory.config));
   set("log_bytes", static_cast<double>(s.memory.log));
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -23,7 +23,7 @@
   explicit Metrics(absl::string_view role);
 
   // Counts one rejected request, by the code of its error kind.
-  void CountRefusal(absl::string_view reason);
+  void CountRejection(absl::string_view reason);
   // Counts one retry, by its reason (e.g. not_run, connection_lost).
   void CountRetry(absl::string_view reason);
   // Counts one finished request, by class and outcome ("ok" or a code).
@@ -39,16 +39,18 @@
   // Records the age of the upstream list when this process received it.
   void ObserveListAge(double seconds);
   // Records the duration of one loop iteration, without the wait for events.
-  void ObserveTurn(double seconds) { loop_iterations_->Observe(seconds); }
+  void ObserveLoopIteration(double seconds) {
+    loop_iterations_->Observe(seconds);
+  }
   // Counts one upstream that terminated while it had requests of this process,
   // by how the termination was detected.
-  void CountCrash(absl::string_view how);
+  void CountUpstreamTermination(absl::string_view how);
   // Counts one answer that states a rate limit of its upstream.
-  void CountLimitTold();
+  void CountStatedLimit();
   // Counts one answer that requests a backoff from this process.
-  void CountRest();
+  void CountRequestedBackoff();
   // Sets the number of upstreams whose stated rate limit is in force.
-  void SetLimited(size_t n);
+  void SetLimitedUpstreams(size_t n);
   // Sets the number of quarantined request fingerprints.
   void SetQuarantined(size_t n);
   // Sets the number of queued requests of `klass`.
@@ -81,13 +83,13 @@
  public:
   // Memory use of the control process, in bytes.
   struct Memory {
-    size_t config = 0;       // The newest committed configuration.
-    size_t log = 0;          // Log entries after the snapshot.
-    size_t log_entries = 0;  // Number of log entries; not bytes.
-    size_t peers = 0;        // Queued for other control processes.
-    size_t watchers = 0;     // Queued for watching processes.
-    size_t heap = 0;         // Allocated on the heap in total.
-    size_t heap_held = 0;    // Obtained from the kernel by the allocator.
+    size_t config = 0;         // The newest committed configuration.
+    size_t log = 0;            // Log entries after the snapshot.
+    size_t log_entries = 0;    // Number of log entries; not bytes.
+    size_t peers = 0;          // Queued for other control processes.
+    size_t watchers = 0;       // Queued for watching processes.
+    size_t heap = 0;           // Allocated on the heap in total.
+    size_t heap_reserved = 0;  // Obtained from the kernel by the allocator.
   };
   // The current state of the control process.
   struct State {
@@ -98,7 +100,8 @@
     size_t voters = 0;
     size_t followers = 0;
     size_t quarantined = 0;  // Quarantined request fingerprints.
-    double step_age_s = -1;  // Since last in sync with the leader; < 0: never.
+    // Time since last in sync with the leader; < 0: never.
+    double in_sync_age_s = -1;
     double list_age_s = -1;  // Since the upstream list was read; < 0: never.
   };
   ControlMetrics();
@@ -107,16 +110,18 @@
                    double seconds);
   // Counts one answered watch, by what was published: a configuration, a list
   // or nothing new.
-  void CountWatch(absl::string_view what);
+  void CountAnsweredWatch(absl::string_view what);
   // Counts one published upstream list and its size, by its form: "whole" or
   // "difference".
-  void CountListTold(absl::string_view how, size_t bytes);
+  void CountPublishedList(absl::string_view how, size_t bytes);
   // Counts one step of a duty, by its outcome.
   void CountDuty(absl::string_view step, absl::string_view outcome);
   // Records the duration of one loop iteration, without the wait for events.
-  void ObserveTurn(double seconds) { loop_iterations_->Observe(seconds); }
+  void ObserveLoopIteration(double seconds) {
+    loop_iterations_->Observe(seconds);
+  }
   // Sets the gauges of the process's state.
-  void Set(const State& s);
+  void SetState(const State& s);
   std::string Render() const;
 
  private:
--- a/src/base/payload.cc
+++ b/src/base/payload.cc
@@ -37,7 +37,7 @@
   return absl::string_view(first).substr(front_offset_);
 }
 
-size_t Payload::Take(uint8_t* to, size_t max_bytes) {
+size_t Payload::Dequeue(uint8_t* to, size_t max_bytes) {
   size_t count = 0;
   while (count < max_bytes && !empty()) {
     absl::string_view piece = FrontPiece().substr(0, max_bytes - count);
@@ -54,10 +54,10 @@
   return count;
 }
 
-std::string Payload::Rest() const {
+std::string Payload::CopyRemaining() const {
   Payload copy = *this;
   std::string bytes(size(), '\0');
-  copy.Take(reinterpret_cast<uint8_t*>(&bytes[0]), bytes.size());
+  copy.Dequeue(reinterpret_cast<uint8_t*>(&bytes[0]), bytes.size());
   return bytes;
 }
 
--- a/src/base/payload.h
+++ b/src/base/payload.h
@@ -34,9 +34,9 @@
   // Appends a shared document; null appends nothing.
   void Append(Document shared);
   // Moves up to `max_bytes` bytes from the front to `to`. Returns their number.
-  size_t Take(uint8_t* to, size_t max_bytes);
+  size_t Dequeue(uint8_t* to, size_t max_bytes);
   // Returns a copy of the remaining bytes.
-  std::string Rest() const;
+  std::string CopyRemaining() const;
 
  private:
   // Returns the next contiguous bytes.
--- a/src/base/request_print.h
+++ b/src/base/request_print.h
@@ -13,17 +13,18 @@
 
 namespace medlarwalk {
 
-using RequestPrint = uint64_t;
+using RequestFingerprint = uint64_t;
 
 // Returns the fingerprint of a request for `target` (path and query) with
 // `body` by client account `account` ("" if there is none). Thread safe.
-inline RequestPrint PrintOf(absl::string_view target, absl::string_view account,
-                            absl::string_view body) {
+inline RequestFingerprint ComputeFingerprint(absl::string_view target,
+                                             absl::string_view account,
+                                             absl::string_view body) {
   return StableHash(body, StableHash(account, StableHash(target)));
 }
 
 // Returns the fingerprint as logs show it: 16 hexadecimal digits.
-inline std::string PrintName(RequestPrint p) {
+inline std::string FingerprintToHex(RequestFingerprint p) {
   return absl::StrCat(absl::Hex(p, absl::kZeroPad16));
 }
 
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -74,15 +74,15 @@
 // Converts `seconds` from an untrusted source to a Duration, clamped to one
 // year in either direction: conversion of a value outside the range of Duration
 // is undefined. NaN becomes zero.
-inline Duration BoundedSeconds(double seconds) {
+inline Duration ClampedSeconds(double seconds) {
   constexpr double kYear = 365.0 * 24 * 3600;
   if (std::isnan(seconds)) return Duration::zero();
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(std::clamp(seconds, -kYear, kYear)));
 }
 
-// Converts `ms` from an untrusted source to a Duration, as BoundedSeconds().
-inline Duration BoundedMs(double ms) { return BoundedSeconds(ms / 1000); }
+// Converts `ms` from an untrusted source to a Duration, as ClampedSeconds().
+inline Duration ClampedMs(double ms) { return ClampedSeconds(ms / 1000); }
 
 // Header fields in the order received, with names as the sender wrote them.
 using HeaderList = std::vector<std::pair<std::string, std::string>>;
--- a/src/caller_server.cc
+++ b/src/caller_server.cc
@@ -112,7 +112,7 @@
 
   bool busy() const { return answering_ || parser_.started(); }
   TimePoint last_activity() const { return last_activity_; }
-  bool has_unread() const { return tcp_->HasUnread(); }
+  bool has_unread() const { return tcp_->HasUnreadData(); }
   bool keeps_open() const { return !close_after_; }
   void CloseAfterThisAnswer() { close_after_ = true; }
   bool server_closing() const { return server_->closing_after_answers_; }
@@ -156,7 +156,7 @@
     exchange_ = std::make_shared<CallerExchange>();
     if (!head.keep_alive) close_after_ = true;
     exchange_->bodyless_ = head.method == "HEAD";
-    exchange_->chunked_ = head.reads_chunks;
+    exchange_->chunked_ = head.accepts_chunked;
     const std::string* expect = head.Find("Expect");
     if (expect && absl::EqualsIgnoreCase(*expect, "100-continue")) {
       tcp_->Write("HTTP/1.1 100 Continue\r\n\r\n");
@@ -184,8 +184,8 @@
     }
     if (!request_done_) return;
     // Two statements of a body's length or of the host allow request smuggling.
-    if (exchange_->head.Count("Content-Length") > 1 ||
-        exchange_->head.Count("Host") > 1) {
+    if (exchange_->head.CountHeaders("Content-Length") > 1 ||
+        exchange_->head.CountHeaders("Host") > 1) {
       RejectMalformed(400);
       return;
     }
@@ -259,7 +259,7 @@
            chunked_ ? "Transfer-Encoding: chunked\r\n" : "");
 }
 
-void CallerExchange::EndWithConnection() { chunked_ = false; }
+void CallerExchange::EndWithClose() { chunked_ = false; }
 
 void CallerExchange::Write(absl::string_view data) {
   if (gone() || data.empty() || bodyless_) return;
@@ -285,7 +285,7 @@
   return gone() ? 0 : connection_->unsent();
 }
 
-size_t CallersFor(size_t descriptors) {
+size_t MaxCallerConnections(size_t descriptors) {
   return descriptors > 2 * kReservedDescriptors
              ? (descriptors - kReservedDescriptors) / 2
              : descriptors / 4;
@@ -372,7 +372,7 @@
       LogWarn("callers_wait", {{"connections", connections_.size()}});
     }
   }
-  listener_.Pause(!accepting);
+  listener_.SetPaused(!accepting);
   if (accepting) {
     ev_timer_stop(loop_, &eviction_timer_);
   } else {
--- a/src/caller_server.h
+++ b/src/caller_server.h
@@ -36,7 +36,7 @@
   // Marks the end of the answer by closing the connection instead of using
   // chunks. Must be called before StartAnswer. Applied automatically for a
   // caller that cannot read chunks.
-  void EndWithConnection();
+  void EndWithClose();
   // Begins an answer of unknown length, which is sent in chunks.
   void StartAnswer(int status, absl::string_view reason,
                    const HeaderList& headers);
@@ -71,7 +71,7 @@
 // Returns how many caller connections a process may hold if it may have
 // `descriptors` open. Each caller may need one more connection, to an upstream,
 // and links to other medlarwalk processes must always be able to reconnect.
-size_t CallersFor(size_t descriptors);
+size_t MaxCallerConnections(size_t descriptors);
 
 // Returns the number of descriptors that the host lets this process open.
 size_t DescriptorLimit();
@@ -95,7 +95,7 @@
   // Limits the number of connections to about `n`. Beyond it, the connections
   // idle longest are closed; if all are busy, new callers wait in the listen
   // backlog.
-  void set_most_connections(size_t n) { max_connections_ = n; }
+  void set_max_connections(size_t n) { max_connections_ = n; }
   // First step of a planned stop: every answer from now on closes its
   // connection.
   void CloseAfterAnswers() { closing_after_answers_ = true; }
--- a/src/control.cc
+++ b/src/control.cc
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-int StatusOf(const absl::Status& s) {
+int HttpStatusOf(const absl::Status& s) {
   if (s.ok()) return 200;
   return absl::IsInvalidArgument(s) ? 400 : 503;
 }
@@ -60,8 +60,9 @@
                    [this](const H2Request& r, std::shared_ptr<H2Stream> s) {
                      HandlePeerRequest(r, std::move(s));
                    }),
-      loop_watch_(loop, clock,
-                  [this](Duration d) { metrics_.ObserveTurn(ToSeconds(d)); }),
+      loop_watch_(
+          loop, clock,
+          [this](Duration d) { metrics_.ObserveLoopIteration(ToSeconds(d)); }),
       links_(loop, clock),
       forwarded_changes_(kMaxForwardedBytes,
                          [this](int64_t, Document document, SubmitDone done) {
@@ -72,7 +73,7 @@
       usage_(
           loop, clock, wall, options_.usage, [this] { return replica_.get(); },
           metrics_),
-      reports_(quarantine_, limits_, usage_.book(), wall),
+      reports_(quarantine_, limits_, usage_.usage_table(), wall),
       leader_watch_(
           loop, clock,
           [&] {
@@ -81,7 +82,9 @@
             o.data_centre = options_.data_centre;
             o.address = options_.peer.ToString();
             o.reports = &reports_;
-            o.longest_turn = [this] { return loop_watch_.longest(); };
+            o.longest_iteration = [this] {
+              return loop_watch_.longest_iteration();
+            };
             return o;
           }(),
           {},
@@ -91,7 +94,8 @@
       list_history_(kMaxListChanges, EncodeListChange) {
   // Prevents the leader from sending configurations in watch answers: they
   // arrive through the replicated log.
-  leader_watch_.state().config_version = std::numeric_limits<int64_t>::max();
+  leader_watch_.next_request().config_version =
+      std::numeric_limits<int64_t>::max();
   InitTimer(&tick_, OnTick, kTickSeconds, kTickSeconds);
   tick_.data = this;
 }
@@ -153,7 +157,7 @@
             Member{absl::StrCat("founder-", a), a});
       }
     }
-    absl::Status s = store_.Rewrite(fresh);
+    absl::Status s = store_.ReplaceState(fresh);
     if (!s.ok()) {
       LogWarn("store_failed", {{"op", "create"}, {"error", s.message()}});
       return false;
@@ -161,7 +165,7 @@
     stored = std::move(fresh);
   }
   TimePoint now = clock_.Now();
-  quarantine_.TakeReported(LoadCrashRecords(options_.data_dir, now));
+  quarantine_.MergeReported(LoadCrashRecords(options_.data_dir, now));
   saved_quarantine_version_ = quarantine_.version();
   LogEvent("store_opened", {{"id", stored->self.id},
                             {"term", stored->term},
@@ -169,17 +173,17 @@
                             {"entries", stored->log.size()},
                             {"version", stored->snapshot.version}});
   ReplicaOptions o;
-  o.tolerate = options_.tolerate;
+  o.tolerated_failures = options_.tolerated_failures;
   Replica::Hooks h;
   h.send = [this](const Member& to, const ReplicaMessage& m) {
     SendToPeer(to, m);
   };
-  h.on_config = [this](int64_t version, const Document& config) {
+  h.on_config_committed = [this](int64_t version, const Document& config) {
     LogEvent("config_committed",
              {{"version", version}, {"bytes", config->size()}});
     AnswerWatches();
   };
-  h.on_change = [this] { FollowLeader(); };
+  h.on_leader_change = [this] { FollowLeader(); };
   replica_ = std::make_unique<Replica>(clock_, o, store_, *std::move(stored),
                                        options_.seeds, h, RandomSeed());
   return true;
@@ -251,19 +255,20 @@
     }
     auto document = std::make_shared<const std::string>(req.body);
     SubmitLocally(std::move(document), *version, [stream](absl::Status s) {
-      stream->Respond(StatusOf(s), {}, std::string(s.message()));
+      stream->Respond(HttpStatusOf(s), {}, std::string(s.message()));
     });
     return;
   }
   if (req.path == kConfirmPath) {
     ConfirmVersionLocally([stream](absl::StatusOr<int64_t> v) {
-      stream->Respond(StatusOf(v.status()), {}, v.ok() ? absl::StrCat(*v) : "");
+      stream->Respond(HttpStatusOf(v.status()), {},
+                      v.ok() ? absl::StrCat(*v) : "");
     });
     return;
   }
   if (req.path == kReadPath) {
     ReadLocally([stream](absl::StatusOr<std::string> r) {
-      stream->Respond(StatusOf(r.status()), {}, r.ok() ? *r : "");
+      stream->Respond(HttpStatusOf(r.status()), {}, r.ok() ? *r : "");
     });
     return;
   }
@@ -317,7 +322,7 @@
   m.watchers = peer_server_.queued_bytes();
   HeapUse heap = ReadHeapUse();
   m.heap = heap.in_use;
-  m.heap_held = heap.held;
+  m.heap_reserved = heap.held;
   return m;
 }
 
@@ -333,7 +338,7 @@
   memory_logged_at_ = now;
   ControlMetrics::Memory m = MeasureMemory();
   LogEvent("memory", {{"heap", m.heap},
-                      {"held", m.heap_held},
+                      {"held", m.heap_reserved},
                       {"config", m.config},
                       {"log", m.log},
                       {"entries", m.log_entries},
@@ -352,13 +357,13 @@
     s.term = replica_->term();
     s.config_version = replica_->config_version();
     s.voters = replica_->members().size();
-    Duration age = replica_->StepAge();
-    if (age != Duration::max()) s.step_age_s = ToSeconds(age);
+    Duration age = replica_->TimeSinceInSync();
+    if (age != Duration::max()) s.in_sync_age_s = ToSeconds(age);
   }
-  s.quarantined = quarantine_.refused();
+  s.quarantined = quarantine_.quarantined_count();
   if (list_read_at_ != TimePoint{})
     s.list_age_s = ToSeconds(now - list_read_at_);
-  metrics_.Set(s);
+  metrics_.SetState(s);
   return metrics_.Render();
 }
 
@@ -403,16 +408,16 @@
     it = now - it->second.last_seen > kFollowerTimeout ? followers_.erase(it)
                                                        : std::next(it);
   }
-  leader_watch_.state().serving_followers = DirectServingCount();
+  leader_watch_.next_request().serving_followers = DirectServingCount();
   quarantine_.Tick(now);
   SaveQuarantine(now);
-  limits_.Keep(
+  limits_.RemoveStaleLimits(
       [this](const std::string& id) {
         return list_history_.list().Find(id) != nullptr;
       },
       now);
   usage_.Tick();
-  if (reports_.urgent()) leader_watch_.AskAgain();
+  if (reports_.has_urgent()) leader_watch_.RestartWatch();
   ConfirmVersionForNewWatches();
   AnswerWatches();
   PollList(now);
@@ -423,12 +428,14 @@
 void Control::PollList(TimePoint now) {
   lister_.Tick();
   if (lister_.busy() || !replica_) return;
-  bool leaderless = !IsLeader() && replica_->LeaderAge() > kLeaderlessTimeout;
+  bool leaderless =
+      !IsLeader() && replica_->TimeSinceLeaderContact() > kLeaderlessTimeout;
   if (!IsLeader() && !leaderless) return;
-  list_interval_ = ListInterval(lister_.length(), options_.list.calls_per_s);
+  list_interval_ =
+      ListPollInterval(lister_.length(), options_.list.calls_per_s);
   if (leaderless) {
     list_interval_ =
-        BoundedSeconds(ToSeconds(list_interval_) / kLeaderlessListRate);
+        ClampedSeconds(ToSeconds(list_interval_) / kLeaderlessListRate);
   }
   if (now - list_polled_at_ < list_interval_) return;
   list_polled_at_ = now;
@@ -448,7 +455,7 @@
     LogEvent("list_changed", {{"version", list_history_.version()},
                               {"from", previous_version},
                               {"upstreams", list_history_.list().size()}});
-    leader_watch_.state().list_version = list_history_.version();
+    leader_watch_.next_request().list_version = list_history_.version();
     AnswerWatches();
   });
 }
--- a/src/control.h
+++ b/src/control.h
@@ -1,7 +1,7 @@
 // The control process. It stores the replicated configuration, reads the
 // upstream list, and publishes both by answering watches. A control process on
 // a host without a disk stores nothing and only relays. Any control process
-// accepts operators' calls, through Submit and Read.
+// accepts operators' calls, through SubmitConfig and ReadConfig.
 #ifndef MEDLARWALK_CONTROL_H_
 #define MEDLARWALK_CONTROL_H_
 
@@ -46,7 +46,7 @@
   // then stores nothing and forwards operators' calls to the leader.
   std::string data_dir;
   BeforeWrite before_disk_write;  // Hook called before disk writes, or empty.
-  int tolerate = 1;  // Number of hosts that may be lost at the same time.
+  int tolerated_failures = 1;     // Hosts that may fail at the same time.
   ListSource list;
   UsageOptions usage;
   // Validates a configuration and returns its version. Errors: InvalidArgument.
@@ -54,7 +54,7 @@
 };
 
 // Returns the HTTP status for the result of a call to a control process.
-int StatusOf(const absl::Status& s);
+int HttpStatusOf(const absl::Status& s);
 
 // One control process. Thread safety: loop thread only.
 class Control {
@@ -74,11 +74,11 @@
   // Submits a configuration. Calls `done` with Ok once this document, or one of
   // the same or a higher version, is committed. Errors: InvalidArgument if the
   // document is invalid; Unavailable if the outcome or the leader is unknown.
-  void Submit(std::string document, SubmitDone done);
+  void SubmitConfig(std::string document, SubmitDone done);
   using ReadDone = std::function<void(absl::StatusOr<std::string>)>;
   // Reads the newest committed configuration. Errors: Unavailable when it
   // cannot be determined.
-  void Read(ReadDone done);
+  void ReadConfig(ReadDone done);
   // Returns the metrics in Prometheus text format.
   std::string Metrics();
 
@@ -174,7 +174,7 @@
   NewestGate forwarded_changes_;  // Configurations forwarded to the leader.
   Lister lister_;
   Quarantine quarantine_;
-  LimitBook limits_;
+  RateLimitTable limits_;
   UsageReporter usage_;
   WatchReports reports_;
   // False while crash records from before a restart may be missing here.
@@ -189,7 +189,8 @@
   TimePoint list_polled_at_{};
   std::vector<PendingWatch> pending_watches_;
   std::map<std::string, Follower> followers_;
-  // WatchReply::serving and WatchReply::place of the leader's last answer.
+  // WatchReply::serving_count and WatchReply::serving_index of the leader's
+  // last answer.
   int leader_serving_count_ = 0;
   int leader_serving_index_ = -1;
   // Data centres of the control processes, as published by the leader.
--- a/src/control_calls.cc
+++ b/src/control_calls.cc
@@ -59,7 +59,7 @@
   replica_->Propose(version, std::move(document), std::move(done));
 }
 
-void Control::Submit(std::string document, SubmitDone done) {
+void Control::SubmitConfig(std::string document, SubmitDone done) {
   absl::StatusOr<int64_t> version = options_.validate(document);
   if (!version.ok()) {
     LogEvent("config_refused", {{"why", version.status().message()}});
@@ -137,7 +137,7 @@
   });
 }
 
-void Control::Read(ReadDone done) {
+void Control::ReadConfig(ReadDone done) {
   TimePoint start = clock_.Now();
   ReadFromLeader(start + kLeaderWait,
                  [this, start, done = std::move(done)](
--- a/src/control_quarantine.cc
+++ b/src/control_quarantine.cc
@@ -21,9 +21,9 @@
   if (!r.ok()) {
     LogWarn("bad_crash_records", {{"error", r.status().message()}});
   } else if (from_leader) {
-    quarantine_.TakeTold(*r);
+    quarantine_.MergePublished(*r);
   } else {
-    quarantine_.TakeReported(*r);
+    quarantine_.MergeReported(*r);
   }
 }
 
@@ -34,9 +34,9 @@
   if (!r.ok()) {
     LogWarn("bad_limit_records", {{"error", r.status().message()}});
   } else if (from_leader) {
-    limits_.TakeTold(*r);
+    limits_.MergePublished(*r);
   } else {
-    limits_.TakeReported(*r);
+    limits_.MergeReported(*r);
   }
 }
 
@@ -48,8 +48,9 @@
     return;
   }
   quarantine_save_tried_at_ = now;
-  absl::Status s = SaveCrashRecords(options_.data_dir, quarantine_.Shared(),
-                                    now, options_.before_disk_write);
+  absl::Status s =
+      SaveCrashRecords(options_.data_dir, quarantine_.RecordsToPublish(), now,
+                       options_.before_disk_write);
   if (s.ok()) {
     saved_quarantine_version_ = quarantine_.version();
   } else {
--- a/src/control_watch.cc
+++ b/src/control_watch.cc
@@ -82,11 +82,11 @@
   if (r.quarantine) MergeCrashRecords(*r.quarantine, true);
   if (r.limits) MergeLimitRecords(*r.limits, true);
   if (!in_sync || IsLeader()) return;
-  leader_serving_count_ = r.serving;
-  leader_serving_index_ = r.place;
+  leader_serving_count_ = r.serving_count;
+  leader_serving_index_ = r.serving_index;
   announced_leader_ = r.leader;
   leader_announced_at_ = clock_.Now();
-  usage_.TakeTold(r);
+  usage_.MergePublished(r);
   if (!r.control.empty()) data_centre_by_address_.clear();
   for (const ControlEndpoint& p : r.control) {
     data_centre_by_address_[p.address] = p.data_centre;
@@ -108,7 +108,8 @@
                            {"to", c.ok() ? c->to : -1}});
   }
   // Version 0 requests the whole list after a change that does not apply.
-  leader_watch_.state().list_version = applied ? list_history_.version() : 0;
+  leader_watch_.next_request().list_version =
+      applied ? list_history_.version() : 0;
   if (applied) AnswerWatches();
 }
 
@@ -116,8 +117,8 @@
   WatchReply w;
   TimePoint now = clock_.Now();
   if (replica_) {
-    Duration age = replica_->StepAge();
-    w.age_ms = age == Duration::max() ? -1 : ToMs(age);
+    Duration age = replica_->TimeSinceInSync();
+    w.sync_age_ms = age == Duration::max() ? -1 : ToMs(age);
     w.config_version = replica_->config_version();
     if (w.config_version > r.config_version) w.config = replica_->config();
     if (std::optional<Member> l = replica_->Leader()) w.leader = l->address;
@@ -131,13 +132,13 @@
   }
   if (list_read_at_ != TimePoint{}) w.list_age_ms = ToMs(now - list_read_at_);
   w.list_interval_ms = ToMs(list_interval_);
-  w.serving = TotalServingCount();
-  w.place = ServingIndexOf(r.name);
-  usage_.Fill(&w);
+  w.serving_count = TotalServingCount();
+  w.serving_index = ServingIndexOf(r.name);
+  usage_.FillReply(&w);
   w.quarantine_version = quarantine_.version();
   if (w.quarantine_version != r.quarantine_version) {
     w.quarantine = std::make_shared<const std::string>(
-        EncodeCrashRecords(quarantine_.Shared(), now));
+        EncodeCrashRecords(quarantine_.RecordsToPublish(), now));
   }
   w.limits_version = limits_.version();
   if (w.limits_version != r.limits_version) {
@@ -167,7 +168,7 @@
   r->crashes.clear();
   if (!r->limits.empty()) MergeLimitRecords(r->limits, false);
   r->limits.clear();
-  usage_.TakeReport(*r);
+  usage_.MergeFollowerReport(*r);
   r->usage.clear();
   pending_watches_.push_back(PendingWatch{*std::move(r), has_reports,
                                           std::move(stream), now,
@@ -192,7 +193,8 @@
 // followers switch to another control process.
 void Control::AnswerWatches() {
   TimePoint now = clock_.Now();
-  bool out_of_sync = !replica_ || replica_->StepAge() > kLeaderlessTimeout;
+  bool out_of_sync =
+      !replica_ || replica_->TimeSinceInSync() > kLeaderlessTimeout;
   std::vector<PendingWatch> keep;
   std::vector<PendingWatch> watches = std::move(pending_watches_);
   pending_watches_.clear();
@@ -214,17 +216,17 @@
     }
     WatchReply reply = MakeWatchReply(w.request);
     if (!may_publish) {
-      reply.age_ms = -1;
+      reply.sync_age_ms = -1;
       reply.config = nullptr;
     }
     if (reply.list) {
       bool version_known = list_history_.Knows(w.request.list_version);
-      metrics_.CountListTold(version_known ? "difference" : "whole",
-                             reply.list->size());
+      metrics_.CountPublishedList(version_known ? "difference" : "whole",
+                                  reply.list->size());
     }
-    metrics_.CountWatch(reply.config ? "config"
-                        : reply.list ? "list"
-                                     : "nothing");
+    metrics_.CountAnsweredWatch(reply.config ? "config"
+                                : reply.list ? "list"
+                                             : "nothing");
     w.stream->Respond(200, {}, EncodeWatchReply(reply));
   }
   // Appends, because answering may have added new watches.
--- a/src/control_wire.cc
+++ b/src/control_wire.cc
@@ -28,11 +28,11 @@
   u.id = j.at(0).get<std::string>();
   u.service = j.at(1).get<std::string>();
   u.address.ip = j.at(2).get<std::string>();
-  u.address.port = WholeNumber<int>(j.at(3));
+  u.address.port = IntegerFromJson<int>(j.at(3));
   u.data_centre = j.at(4).get<std::string>();
   u.leaving = j.at(5).get<bool>();
-  u.slots = WholeNumber<int>(j.at(6));
-  u.born = WholeNumber<int64_t>(j.at(7));
+  u.slots = IntegerFromJson<int>(j.at(6));
+  u.born = IntegerFromJson<int64_t>(j.at(7));
   return u;
 }
 
@@ -75,7 +75,7 @@
 
 Millis AgeFromJson(const json& j) {
   return Millis(
-      std::clamp<int64_t>(WholeNumber<int64_t>(j), 0, kMaxAge.count()));
+      std::clamp<int64_t>(IntegerFromJson<int64_t>(j), 0, kMaxAge.count()));
 }
 
 // Decodes CBOR and returns the result of `f` on it. Errors: InvalidArgument if
@@ -116,9 +116,9 @@
     json crashes = json::array();
     for (const Crash& c : r.crashes) {
       crashes.push_back({c.upstream, ToMs(now - c.sent_at), ToMs(now - c.at),
-                         c.just_begun, c.cleared});
+                         c.just_started, c.cleared});
     }
-    out.push_back({r.asks, std::move(crashes)});
+    out.push_back({r.fingerprint, std::move(crashes)});
   }
   return out;
 }
@@ -127,9 +127,9 @@
   std::vector<CrashRecord> out;
   for (const json& item : j) {
     CrashRecord r;
-    r.asks = WholeNumber<uint64_t>(item.at(0));
+    r.fingerprint = IntegerFromJson<uint64_t>(item.at(0));
     for (const json& c : item.at(1)) {
-      r.crashes.push_back(Crash{WholeNumber<uint64_t>(c.at(0)),
+      r.crashes.push_back(Crash{IntegerFromJson<uint64_t>(c.at(0)),
                                 now - AgeFromJson(c.at(1)),
                                 now - AgeFromJson(c.at(2)), c.at(3).get<bool>(),
                                 c.at(4).get<bool>()});
@@ -200,10 +200,10 @@
     for (const json& g : j) {
       const json& counts = g.at(2);
       for (size_t i = 0; i + 1 < counts.size(); i += 2) {
-        out.push_back({WholeNumber<uint64_t>(g.at(0)),
-                       WholeNumber<int64_t>(g.at(1)),
+        out.push_back({IntegerFromJson<uint64_t>(g.at(0)),
+                       IntegerFromJson<int64_t>(g.at(1)),
                        counts.at(i).get<std::string>(),
-                       WholeNumber<int64_t>(counts.at(i + 1))});
+                       IntegerFromJson<int64_t>(counts.at(i + 1))});
       }
     }
     return out;
@@ -234,27 +234,27 @@
     r.data_centre = j.at("z").get<std::string>();
     r.address = j.at("p").get<std::string>();
     r.serves_callers = j.at("s").get<bool>();
-    r.serving_followers = WholeNumber<int>(j.at("w"));
-    r.config_version = WholeNumber<int64_t>(j.at("c"));
-    r.list_version = WholeNumber<int64_t>(j.at("l"));
-    r.endpoints_version = WholeNumber<int64_t>(j.at("k"));
-    r.quarantine_version = WholeNumber<int64_t>(j, "q", 0);
+    r.serving_followers = IntegerFromJson<int>(j.at("w"));
+    r.config_version = IntegerFromJson<int64_t>(j.at("c"));
+    r.list_version = IntegerFromJson<int64_t>(j.at("l"));
+    r.endpoints_version = IntegerFromJson<int64_t>(j.at("k"));
+    r.quarantine_version = IntegerFromJson<int64_t>(j, "q", 0);
     if (Document d = FindDocument(j, "x")) r.crashes = *d;
-    r.limits_version = WholeNumber<int64_t>(j, "b", 0);
+    r.limits_version = IntegerFromJson<int64_t>(j, "b", 0);
     if (Document d = FindDocument(j, "y")) r.limits = *d;
-    r.unix_ms = WholeNumber<int64_t>(j, "t", 0);
+    r.unix_ms = IntegerFromJson<int64_t>(j, "t", 0);
     if (Document d = FindDocument(j, "u")) r.usage = *d;
     return r;
   });
 }
 
 Payload EncodeWatchReply(const WatchReply& r) {
-  json j = {{"a", r.age_ms},         {"c", r.config_version},
+  json j = {{"a", r.sync_age_ms},    {"c", r.config_version},
             {"g", r.list_age_ms},    {"i", r.list_interval_ms},
-            {"s", r.serving},        {"m", ToJson(r.control)},
+            {"s", r.serving_count},  {"m", ToJson(r.control)},
             {"h", r.leader},         {"q", r.quarantine_version},
-            {"t", r.unix_ms},        {"f", r.usage_fixed},
-            {"b", r.limits_version}, {"r", r.place}};
+            {"t", r.unix_ms},        {"f", r.usage_committed_through},
+            {"b", r.limits_version}, {"r", r.serving_index}};
   std::string head = ToCbor(j);
   // The documents are appended as the last pairs of the map, so that they need
   // no copy. The first byte of a CBOR map holds its number of pairs, as long as
@@ -276,22 +276,22 @@
 absl::StatusOr<WatchReply> DecodeWatchReply(absl::string_view bytes) {
   return DecodeCbor<WatchReply>(bytes, [](const json& j) {
     WatchReply r;
-    r.age_ms = WholeNumber<int64_t>(j.at("a"));
-    r.config_version = WholeNumber<int64_t>(j.at("c"));
-    r.list_age_ms = WholeNumber<int64_t>(j.at("g"));
-    r.list_interval_ms = WholeNumber(j, "i", int64_t{0});
-    r.serving = WholeNumber<int>(j.at("s"));
+    r.sync_age_ms = IntegerFromJson<int64_t>(j.at("a"));
+    r.config_version = IntegerFromJson<int64_t>(j.at("c"));
+    r.list_age_ms = IntegerFromJson<int64_t>(j.at("g"));
+    r.list_interval_ms = IntegerFromJson(j, "i", int64_t{0});
+    r.serving_count = IntegerFromJson<int>(j.at("s"));
     r.control = ControlEndpointsFromJson(j.at("m"));
     r.leader = j.at("h").get<std::string>();
     r.config = FindDocument(j, "d");
     r.list = FindDocument(j, "l");
-    r.quarantine_version = WholeNumber<int64_t>(j, "q", 0);
+    r.quarantine_version = IntegerFromJson<int64_t>(j, "q", 0);
     r.quarantine = FindDocument(j, "x");
-    r.limits_version = WholeNumber<int64_t>(j, "b", 0);
+    r.limits_version = IntegerFromJson<int64_t>(j, "b", 0);
     r.limits = FindDocument(j, "y");
-    r.place = WholeNumber<int>(j, "r", -1);
-    r.unix_ms = WholeNumber<int64_t>(j, "t", 0);
-    r.usage_fixed = WholeNumber<int64_t>(j, "f", 0);
+    r.serving_index = IntegerFromJson<int>(j, "r", -1);
+    r.unix_ms = IntegerFromJson<int64_t>(j, "t", 0);
+    r.usage_committed_through = IntegerFromJson<int64_t>(j, "f", 0);
     return r;
   });
 }
@@ -308,8 +308,8 @@
   if (!text.ok()) return text.status();
   return DecodeCbor<ListChange>(*text, [](const json& j) {
     ListChange c;
-    c.from = WholeNumber<int64_t>(j.at("f"));
-    c.to = WholeNumber<int64_t>(j.at("t"));
+    c.from = IntegerFromJson<int64_t>(j.at("f"));
+    c.to = IntegerFromJson<int64_t>(j.at("t"));
     for (const json& u : j.at("u")) c.changed.push_back(UpstreamFromJson(u));
     c.gone = j.at("g").get<std::vector<std::string>>();
     return c;
--- a/src/control_wire.h
+++ b/src/control_wire.h
@@ -65,7 +65,7 @@
 struct WatchReply {
   // Time since the answering process was last known to be in sync with a
   // leader, in ms; negative if it never was.
-  int64_t age_ms = -1;
+  int64_t sync_age_ms = -1;
   int64_t config_version = 0;
   Document config;  // Null unless newer than the follower's version.
   // A ListChange; null if the follower holds this version.
@@ -81,19 +81,19 @@
   int64_t list_age_ms = -1;
   // Time between two reads of the upstream list, in ms.
   int64_t list_interval_ms = 0;
-  int serving = 0;  // Number of known processes that serve callers.
+  int serving_count = 0;  // Number of known processes that serve callers.
   // Index of the follower among the serving processes. If the follower is a
   // control process: index of the first serving process behind it. Negative if
   // unknown.
-  int place = -1;
+  int serving_index = -1;
   // All known control processes; empty if the follower knows the same ones.
   std::vector<ControlEndpoint> control;
   std::string leader;  // Address of the leader; "" if unknown.
   // The group's time, in Unix milliseconds; 0 if unknown.
   int64_t unix_ms = 0;
-  // Newest window whose usage is final, as is that of all windows before it; 0
-  // if there is none.
-  int64_t usage_fixed = 0;
+  // Newest window whose usage is committed, as is that of all windows before
+  // it; 0 if there is none.
+  int64_t usage_committed_through = 0;
 };
 
 // Encodes the addresses of the group's members. Members send them to seeds that
--- a/src/crash_watch.h
+++ b/src/crash_watch.h
@@ -23,7 +23,7 @@
  public:
   // A call whose connection closed before its answer was complete.
   struct InterruptedCall {
-    RequestPrint fingerprint = 0;
+    RequestFingerprint fingerprint = 0;
     Crash crash;  // All fields but the upstream are set.
   };
   // Called from the functions below when `upstream` has terminated and
--- a/src/dialect.h
+++ b/src/dialect.h
@@ -24,13 +24,13 @@
 // Facts that a caller states about its request.
 struct RequestFacts {
   std::string id;  // Id of the caller's attempt; the upstream echoes it.
-  std::optional<Duration> patience;  // How long the caller waits.
-  std::string key;                   // Key of the client account; may be empty.
-  std::string host;                  // Host and path select the route.
+  std::optional<Duration> time_limit;  // How long the caller waits.
+  std::string key;   // Key of the client account; may be empty.
+  std::string host;  // Host and path select the route.
   std::string path;
   int64_t prompt_tokens = 0;  // 0 if not stated by the caller.
-  int64_t most_output_tokens = 0;
-  int64_t likely_output_tokens = 0;  // Caller's estimate; 0 if none.
+  int64_t max_output_tokens = 0;
+  int64_t expected_output_tokens = 0;  // Caller's estimate; 0 if none.
   std::vector<PromptPart> parts;
   std::optional<int64_t> last_event;  // Answer resumes after this event.
   // Override the route's kind and repeatability if set by the request.
@@ -44,7 +44,7 @@
 struct ForwardFacts {
   std::string id;                      // Id of the request.
   std::string upstream_id;             // Any other upstream must reject it.
-  Duration patience{};                 // Remaining time that the caller waits.
+  Duration time_limit{};               // Remaining time that the caller waits.
   std::string account;                 // Client account; empty if none.
   std::optional<int> engine_priority;  // 0 is the most urgent.
   std::optional<int64_t> last_event;   // Answer resumes after this event.
@@ -62,8 +62,8 @@
   bool other_upstream = false;  // A different upstream now has the address.
   // Id of the upstream's termination that cut the answer short. Empty if no
   // termination cut it short or none was observed.
-  std::string upstream_end;
-  bool signed_whole = false;  // The answer has the upstream's signature.
+  std::string termination_id;
+  bool has_signature = false;  // The answer has the upstream's signature.
   // Whether the answer reports the upstream's load; if so, the numbers of
   // running and waiting requests.
   bool has_load = false;
@@ -75,12 +75,12 @@
   bool leaving = false;  // The upstream is draining.
   // Backoff requested by the upstream: it rejects the request and this process
   // must send nothing to it for so long. Zero if none is requested.
-  Duration rest{};
+  Duration backoff{};
 };
 
 // A rejection or failure reported by medlarwalk itself, in the form sent to the
 // caller.
-struct Refusal {
+struct ErrorResponse {
   HeaderList headers;
   std::string body;
 };
@@ -99,11 +99,12 @@
   std::function<AnswerFacts(const MessageHead&)> read_answer;
   // Returns whether the header `name` of an answer is passed to the caller. If
   // empty, all headers are.
-  std::function<bool(absl::string_view name)> passes_on;
+  std::function<bool(absl::string_view name)> forwards_header;
   // Builds a rejection. `retry_after` is the suggested time until the caller's
   // next attempt.
-  std::function<Refusal(ErrorKind, absl::string_view why, Duration retry_after)>
-      write_refusal;
+  std::function<ErrorResponse(ErrorKind, absl::string_view why,
+                              Duration retry_after)>
+      write_error_response;
 };
 
 }  // namespace medlarwalk
--- a/src/duty/duty_log.cc
+++ b/src/duty/duty_log.cc
@@ -13,13 +13,13 @@
 
 bool DutyLog::Apply(const DutyRecord& r) {
   Subject& s = subjects_[r.subject];
-  bool is_first = r.number > s.fixed_through;
+  bool is_first = r.number > s.committed_through;
   if (is_first) {
-    s.fixed_through = r.number;
+    s.committed_through = r.number;
     s.open[r.number] = r.content;
   }
-  s.done_through = std::max(s.done_through, r.done_through);
-  s.open.erase(s.open.begin(), s.open.upper_bound(s.done_through));
+  s.accepted_through = std::max(s.accepted_through, r.accepted_through);
+  s.open.erase(s.open.begin(), s.open.upper_bound(s.accepted_through));
   while (s.open.size() > kMaxOpen) s.open.erase(s.open.begin());
   return is_first;
 }
--- a/src/duty/duty_log.h
+++ b/src/duty/duty_log.h
@@ -24,7 +24,7 @@
   int64_t number = 0;  // Sequence number of the call; grows within a subject.
   Document content;    // Never null.
   // All calls up to this number were accepted, as far as the proposer knew.
-  int64_t done_through = 0;
+  int64_t accepted_through = 0;
 };
 
 // The committed records of all subjects. Thread safety: none.
@@ -32,8 +32,8 @@
  public:
   // The state of one subject.
   struct Subject {
-    int64_t fixed_through = 0;  // The highest committed number; 0: none yet.
-    int64_t done_through = 0;   // All calls up to this number were accepted.
+    int64_t committed_through = 0;  // The highest committed number; 0: none.
+    int64_t accepted_through = 0;  // All calls up to this number were accepted.
     // Contents by number: committed, but not known to be accepted.
     std::map<int64_t, Document> open;
     // Returns the size of all contents in `open`.
--- a/src/duty/duty_turn.h
+++ b/src/duty/duty_turn.h
@@ -15,7 +15,7 @@
 
 namespace medlarwalk {
 
-struct DutyTurnPolicy {
+struct DutyLeadershipPolicy {
   // The lease that the outside system grants a holder.
   Duration lease{};
   // Added to the lease: covers the time until a leader notices that it has lost
@@ -30,7 +30,7 @@
 // Tracks this process's leadership. Thread safety: loop thread only.
 class DutyLeadership {
  public:
-  explicit DutyLeadership(DutyTurnPolicy policy) : policy_(policy) {}
+  explicit DutyLeadership(DutyLeadershipPolicy policy) : policy_(policy) {}
 
   // Records whether this process leads now, and the term. Call regularly.
   void UpdateLeadership(bool leads, uint64_t term, TimePoint now);
@@ -53,7 +53,7 @@
   bool refused() const { return refused_; }
 
  private:
-  DutyTurnPolicy policy_;
+  DutyLeadershipPolicy policy_;
   bool leads_ = false;
   uint64_t term_ = 0;
   TimePoint since_{};         // When the leadership began.
--- a/src/duty/group_time.cc
+++ b/src/duty/group_time.cc
@@ -15,8 +15,8 @@
       std::chrono::system_clock::now().time_since_epoch());
 }
 
-void GroupTime::NoteSample(const std::string& from, int64_t unix_ms,
-                           TimePoint now) {
+void GroupTime::RecordSample(const std::string& from, int64_t unix_ms,
+                             TimePoint now) {
   samples_[from] = {unix_ms - MonotonicMs(now), now};
   std::vector<int64_t> offsets;
   for (auto it = samples_.begin(); it != samples_.end();) {
@@ -34,14 +34,14 @@
   median_at_ = now;
 }
 
-void GroupTime::NoteTold(int64_t unix_ms, TimePoint now) {
+void GroupTime::RecordReceivedTime(int64_t unix_ms, TimePoint now) {
   while (!received_.empty() && now - received_.front().at > kSampleTrust) {
     received_.pop_front();
   }
   received_.push_back({unix_ms - MonotonicMs(now), now});
 }
 
-std::optional<int64_t> GroupTime::UnixMs(TimePoint at) const {
+std::optional<int64_t> GroupTime::UnixMsAt(TimePoint at) const {
   bool use_received =
       !received_.empty() &&
       (!median_offset_ || median_at_ - received_.back().at <= kReceivedTrust);
--- a/src/duty/group_time.h
+++ b/src/duty/group_time.h
@@ -37,15 +37,15 @@
  public:
   // Records that the wall clock of process `from` (which may be this process)
   // showed `unix_ms` at `now`.
-  void NoteSample(const std::string& from, int64_t unix_ms, TimePoint now);
+  void RecordSample(const std::string& from, int64_t unix_ms, TimePoint now);
   // Records the group's time, received at `now` from the process that this one
-  // follows. UnixMs() prefers received times to samples until the latest sample
-  // is newer by more than kReceivedTrust. That happens once this process has
-  // become the leader.
-  void NoteTold(int64_t unix_ms, TimePoint now);
+  // follows. UnixMsAt() prefers received times to samples until the latest
+  // sample is newer by more than kReceivedTrust. That happens once this process
+  // has become the leader.
+  void RecordReceivedTime(int64_t unix_ms, TimePoint now);
   // Returns the group's time at `at`, in milliseconds since the Unix epoch;
   // nullopt before any time was recorded.
-  std::optional<int64_t> UnixMs(TimePoint at) const;
+  std::optional<int64_t> UnixMsAt(TimePoint at) const;
 
  private:
   // Samples and received times older than this are dropped.
--- a/src/duty/usage_book.cc
+++ b/src/duty/usage_book.cc
@@ -7,12 +7,12 @@
 
 namespace medlarwalk {
 
-bool UsageBook::Key::operator<(const Key& o) const {
+bool UsageTable::Key::operator<(const Key& o) const {
   return std::tie(window, process, account) <
          std::tie(o.window, o.process, o.account);
 }
 
-void UsageBook::RaiseCount(Key key, int64_t count) {
+void UsageTable::RaiseCount(Key key, int64_t count) {
   if (key.window <= dropped_through_) return;
   auto it = cells_.find(key);
   if (it == cells_.end()) {
@@ -26,21 +26,21 @@
   by_seq_[seq_] = std::move(key);
 }
 
-void UsageBook::Count(uint64_t process, int64_t window,
-                      const std::string& account) {
+void UsageTable::CountRequest(uint64_t process, int64_t window,
+                              const std::string& account) {
   Key key{window, process, account};
   auto it = cells_.find(key);
   int64_t previous = it == cells_.end() ? 0 : it->second.count;
   RaiseCount(std::move(key), previous + 1);
 }
 
-void UsageBook::MergeRecords(absl::Span<const UsageRecord> records) {
+void UsageTable::MergeRecords(absl::Span<const UsageRecord> records) {
   for (const UsageRecord& r : records) {
     RaiseCount({r.window, r.process, r.account}, r.count);
   }
 }
 
-void UsageBook::DropThrough(int64_t window) {
+void UsageTable::DropThrough(int64_t window) {
   dropped_through_ = std::max(dropped_through_, window);
   while (!cells_.empty() && cells_.begin()->first.window <= dropped_through_) {
     by_seq_.erase(cells_.begin()->second.seq);
@@ -48,7 +48,7 @@
   }
 }
 
-UsageCounts UsageBook::SumByAccount(int64_t window) const {
+UsageCounts UsageTable::SumByAccount(int64_t window) const {
   UsageCounts sum;
   for (auto it = cells_.lower_bound({window, 0, ""});
        it != cells_.end() && it->first.window == window; ++it) {
@@ -57,7 +57,7 @@
   return sum;
 }
 
-size_t UsageBook::CountProcesses(int64_t window) const {
+size_t UsageTable::CountProcesses(int64_t window) const {
   std::set<uint64_t> processes;
   for (auto it = cells_.lower_bound({window, 0, ""});
        it != cells_.end() && it->first.window == window; ++it) {
@@ -66,14 +66,14 @@
   return processes.size();
 }
 
-std::optional<int64_t> UsageBook::first_window() const {
+std::optional<int64_t> UsageTable::first_window() const {
   if (cells_.empty()) return std::nullopt;
   return cells_.begin()->first.window;
 }
 
-std::vector<UsageRecord> UsageBook::ChangedSince(uint64_t seq,
-                                                 size_t max_records,
-                                                 uint64_t* through) const {
+std::vector<UsageRecord> UsageTable::ChangedSince(uint64_t seq,
+                                                  size_t max_records,
+                                                  uint64_t* through) const {
   std::vector<UsageRecord> out;
   *through = seq;
   for (auto it = by_seq_.upper_bound(seq);
@@ -85,19 +85,19 @@
   return out;
 }
 
-std::vector<UsageRecord> UsageReports::For(const std::string& target,
-                                           TimePoint now) {
-  if (target != target_) Lost();
+std::vector<UsageRecord> UsageReportTracker::RecordsToReport(
+    const std::string& target, TimePoint now) {
+  if (target != target_) OnTargetLost();
   target_ = target;
   sent_ = confirmed_;
   if (last_report_at_ && now - *last_report_at_ < interval_) return {};
   std::vector<UsageRecord> report =
-      book_.ChangedSince(confirmed_, kMaxRecordsPerReport, &sent_);
+      table_.ChangedSince(confirmed_, kMaxRecordsPerReport, &sent_);
   if (!report.empty()) last_report_at_ = now;
   return report;
 }
 
-void UsageReports::Lost() {
+void UsageReportTracker::OnTargetLost() {
   confirmed_ = sent_ = 0;
   last_report_at_.reset();
 }
--- a/src/duty/usage_book.h
+++ b/src/duty/usage_book.h
@@ -29,13 +29,14 @@
 };
 
 // The counts of all known processes. Thread safety: loop thread only.
-class UsageBook {
+class UsageTable {
  public:
   // `max_records`: records kept; further records are ignored.
-  explicit UsageBook(size_t max_records = 65536) : max_records_(max_records) {}
+  explicit UsageTable(size_t max_records = 65536) : max_records_(max_records) {}
 
   // Adds one request to the count of `process`.
-  void Count(uint64_t process, int64_t window, const std::string& account);
+  void CountRequest(uint64_t process, int64_t window,
+                    const std::string& account);
   // Merges the counts of other processes.
   void MergeRecords(absl::Span<const UsageRecord> records);
   // Removes all counts up to `window`, which is committed. Later counts for
@@ -82,26 +83,27 @@
 
 // Tracks which usage records the process reported to (the target) has not
 // confirmed yet. Thread safety: loop thread only.
-class UsageReports {
+class UsageReportTracker {
  public:
   // `interval`: minimum time between two reports. Counts that a process has not
-  // reported are lost if it fails. Precondition: `book` outlives this.
-  UsageReports(const UsageBook& book, Duration interval)
-      : book_(book), interval_(interval) {}
+  // reported are lost if it fails. Precondition: `table` outlives this.
+  UsageReportTracker(const UsageTable& table, Duration interval)
+      : table_(table), interval_(interval) {}
 
   // Returns the records to report to `target` next; none before the interval
   // has passed.
-  std::vector<UsageRecord> For(const std::string& target, TimePoint now);
+  std::vector<UsageRecord> RecordsToReport(const std::string& target,
+                                           TimePoint now);
   // Records that the target has received the last report.
-  void Confirmed() { confirmed_ = sent_; }
+  void OnDelivered() { confirmed_ = sent_; }
   // Records that the target failed. It may have lost all earlier reports, so
   // all records are reported again.
-  void Lost();
+  void OnTargetLost();
 
  private:
   static constexpr size_t kMaxRecordsPerReport = 1024;
 
-  const UsageBook& book_;
+  const UsageTable& table_;
   Duration interval_;
   std::string target_;
   std::optional<TimePoint> last_report_at_;
--- a/src/duty/usage_schedule.cc
+++ b/src/duty/usage_schedule.cc
@@ -18,12 +18,12 @@
 }
 
 std::optional<int64_t> WindowToCommit(const DutyLog::Subject& subject,
-                                      const UsageBook& book, int64_t unix_ms,
+                                      const UsageTable& table, int64_t unix_ms,
                                       const UsagePolicy& policy) {
   if (policy.window <= Duration::zero()) return std::nullopt;
-  int64_t window = subject.fixed_through + 1;
-  if (subject.fixed_through == 0) {
-    std::optional<int64_t> first = book.first_window();
+  int64_t window = subject.committed_through + 1;
+  if (subject.committed_through == 0) {
+    std::optional<int64_t> first = table.first_window();
     if (!first) return std::nullopt;
     window = *first;
   }
@@ -48,7 +48,7 @@
     }
     UsageCounts counts;
     for (const auto& [account, n] : j.items()) {
-      counts[account] = WholeNumber<int64_t>(n);
+      counts[account] = IntegerFromJson<int64_t>(n);
     }
     return counts;
   } catch (const json::exception& e) {
@@ -82,7 +82,7 @@
 
 int64_t UsageDeliveries::AcceptedThrough(
     const DutyLog::Subject& subject) const {
-  int64_t done = subject.done_through;
+  int64_t done = subject.accepted_through;
   for (const auto& [window, content] : subject.open) {
     auto it = deliveries_.find(window);
     if (it == deliveries_.end() || !it->second.accepted) return done;
--- a/src/duty/usage_schedule.h
+++ b/src/duty/usage_schedule.h
@@ -46,7 +46,7 @@
 // not distinguish a skipped report from a lost one. Only windows that are more
 // than `max_windows_behind` behind are skipped.
 std::optional<int64_t> WindowToCommit(const DutyLog::Subject& subject,
-                                      const UsageBook& book, int64_t unix_ms,
+                                      const UsageTable& table, int64_t unix_ms,
                                       const UsagePolicy& policy);
 
 // Encodes the content of a usage report, as CBOR.
--- a/src/entry.cc
+++ b/src/entry.cc
@@ -73,7 +73,7 @@
       host_(settings_->FindHost(host)),
       policy_(policy),
       metrics_("entry"),
-      upstreams_(OwnUpstreams(*settings_)),
+      upstreams_(UpstreamsFromSettings(*settings_)),
       gateway_(
           loop, clock,
           [&] {
@@ -83,14 +83,15 @@
             };
             return o;
           }(),
-          OwnDialect(settings_, host), metrics_, StableHash(host)),
+          NativeApiDialect(settings_, host), metrics_, StableHash(host)),
       caller_server_(loop, clock, [this](std::shared_ptr<CallerExchange> ex) {
         Handle(std::move(ex));
       }) {
-  auto routing = std::make_shared<const RoutingConfig>(OwnRouting(*settings_));
+  auto routing =
+      std::make_shared<const RoutingConfig>(RoutingFromSettings(*settings_));
   caller_server_.set_limits(routing->limits);
-  caller_server_.set_most_connections(CallersFor(DescriptorLimit()));
-  gateway_.SetServing(1);
+  caller_server_.set_max_connections(MaxCallerConnections(DescriptorLimit()));
+  gateway_.SetEntryCount(1);
   gateway_.SetConfig(std::move(routing));
   gateway_.SetUpstreams(upstreams_);
   InitTimer(&tick_timer_, OnTickTimer, kTickSeconds, kTickSeconds);
--- a/src/entry.h
+++ b/src/entry.h
@@ -1,6 +1,6 @@
-// The entry process of medlarwalk's own API. Callers send it HTTP requests; it
-// forwards them over HTTP/2 to the agents next to the upstreams. The gateway
-// chooses the upstream.
+// The entry process of the native API of medlarwalk. Callers send it HTTP
+// requests; it forwards them over HTTP/2 to the agents next to the upstreams.
+// The gateway chooses the upstream.
 #ifndef MEDLARWALK_ENTRY_H_
 #define MEDLARWALK_ENTRY_H_
 
--- a/src/event_stream.h
+++ b/src/event_stream.h
@@ -15,7 +15,7 @@
 namespace medlarwalk {
 
 // Returns the value of the event's "id" field, if it is a number.
-inline std::optional<int64_t> EventId(absl::string_view event) {
+inline std::optional<int64_t> ParseEventId(absl::string_view event) {
   while (!event.empty()) {
     size_t eol = event.find('\n');
     absl::string_view line = event.substr(0, eol);
--- a/src/fake_engine.cc
+++ b/src/fake_engine.cc
@@ -142,7 +142,7 @@
 void FakeEngine::ScheduleDecodeStep() {
   if (ev_is_active(&step_timer_)) return;
   int batch = static_cast<int>(running_.size() + waiting_.size());
-  double seconds = (std::chrono::duration<double>(options_.step).count() +
+  double seconds = (std::chrono::duration<double>(options_.step_time).count() +
                     options_.extra_step_us_per_request * 1e-6 *
                         std::min(batch, options_.max_batch_size)) *
                    straggle_factor_;
--- a/src/fake_engine.h
+++ b/src/fake_engine.h
@@ -28,7 +28,7 @@
 struct FakeEngineOptions {
   std::string address = "127.0.0.1";
   int port = 0;
-  Millis step{10};  // Time of a decode step with an empty batch.
+  Millis step_time{10};  // Time of a decode step with an empty batch.
   double extra_step_us_per_request = 300;  // Added to the step time.
   int max_batch_size = 64;  // Maximum number of requests decoded together.
   double prefill_us_per_char = 20;  // Of the uncached part of a prompt.
--- a/src/gateway.cc
+++ b/src/gateway.cc
@@ -49,7 +49,7 @@
       prefix_holders_(kPrefixHolderTrust, kMaxRememberedParts),
       wait_queue_(options_.waiting),
       entry_count_(kAssumedEntryCount),
-      send_slot_share_{kAssumedEntryCount, 0} {}
+      process_index_{kAssumedEntryCount, 0} {}
 
 Gateway::~Gateway() = default;
 
@@ -58,7 +58,7 @@
   ResumeAwaitingConfig();
 }
 
-void Gateway::NoteInStep(TimePoint as_of) {
+void Gateway::RecordConfigCurrent(TimePoint as_of) {
   config_current_at_ = std::max(config_current_at_, as_of);
   if (config_) ResumeAwaitingConfig();
 }
@@ -75,7 +75,7 @@
 void Gateway::SetUpstreams(absl::Span<const UpstreamInfo> upstreams) {
   for (const std::string& id : pool_.Update(upstreams)) {
     prefix_holders_.Forget(id);
-    limits_.Note(id, std::nullopt, clock_.Now());
+    limits_.RecordLimit(id, std::nullopt, clock_.Now());
   }
   crash_watch_.OnListUpdate();
   ApplyLimitsToBoards();
@@ -146,7 +146,7 @@
     return;
   }
   if (!s.ok()) {
-    FailRequest(r, KindOf(s), s.message());
+    FailRequest(r, ErrorKindOf(s), s.message());
     return;
   }
   RetryBudgetFor(r.service->name).NoteRequest(options_.retry);
@@ -158,7 +158,7 @@
 // seconds finds requests that were sent long after a route was added. Callers
 // that get "no such route" never retry.
 bool Gateway::ConfigMayBeOutdated(const absl::Status& rejection) const {
-  ErrorKind kind = KindOf(rejection);
+  ErrorKind kind = ErrorKindOf(rejection);
   bool depends_on_config =
       kind == ErrorKind::kUnknownRoute || kind == ErrorKind::kUnknownKey;
   return depends_on_config && options_.config_trust > Duration::zero() &&
@@ -169,7 +169,7 @@
   absl::StatusOr<RequestFacts> facts =
       dialect_.read_request(r.exchange->head, r.exchange->body);
   if (!facts.ok()) {
-    ErrorKind kind = KindOf(facts.status());
+    ErrorKind kind = ErrorKindOf(facts.status());
     return MakeError(
         kind == ErrorKind::kInternal ? ErrorKind::kBadRequest : kind,
         facts.status().message());
@@ -186,23 +186,25 @@
     r.account = a->name;
     account_tier = a->tier.value_or(r.tier);
   }
-  r.fingerprint = PrintOf(r.exchange->head.target, r.account, r.exchange->body);
-  r.rank = RankOf(r.tier, account_tier);
+  r.fingerprint =
+      ComputeFingerprint(r.exchange->head.target, r.account, r.exchange->body);
+  r.rank = RequestRank(r.tier, account_tier);
   std::uniform_real_distribution<double> draw(0, 1);
   r.service = &config_->services.at(PickService(*r.route, draw(random_)));
   Duration time_limit = r.route->timeout;
-  if (r.facts.patience) time_limit = std::min(time_limit, *r.facts.patience);
+  if (r.facts.time_limit)
+    time_limit = std::min(time_limit, *r.facts.time_limit);
   deadlines_.erase(r.deadline_entry);
   r.deadline = r.exchange->arrived + time_limit;
   r.deadline_entry = deadlines_.emplace(r.deadline, r.seq);
   r.last_event = r.facts.last_event;
   if (r.service->engine) {
-    int64_t output = r.facts.likely_output_tokens > 0
-                         ? r.facts.likely_output_tokens
-                         : r.facts.most_output_tokens;
+    int64_t output = r.facts.expected_output_tokens > 0
+                         ? r.facts.expected_output_tokens
+                         : r.facts.max_output_tokens;
     r.shape = ShapeOf(r.facts.prompt_tokens, output, options_.placement);
   }
-  if (quarantine_.Refuses(r.fingerprint)) {
+  if (quarantine_.IsQuarantined(r.fingerprint)) {
     return MakeError(ErrorKind::kQuarantined, "crashes upstreams");
   }
   if (draining_ && r.shape == WorkShape::kDecode) {
@@ -242,7 +244,7 @@
     other->waiting = false;
     FailRequest(*other, ErrorKind::kShed, "room needed for a higher tier");
   }
-  if (!r.waiting) FailRequest(r, KindOf(entered), entered.message());
+  if (!r.waiting) FailRequest(r, ErrorKindOf(entered), entered.message());
 }
 
 PlacementAsk Gateway::PlacementInputFor(const Request& r) const {
@@ -330,7 +332,7 @@
   ForwardFacts f;
   f.id = r.facts.id;
   f.upstream_id = u.info.id;
-  f.patience = r.deadline - now;
+  f.time_limit = r.deadline - now;
   f.account = r.account;
   if (r.service->engine) {
     f.engine_priority = EnginePriority(*r.config, r.rank);
@@ -339,7 +341,7 @@
   if (r.service->engine) f.copy_from = FindCopySource(r, u, now);
   LogEvent("sent",
            {{"request", r.facts.id},
-            {"asks", PrintName(r.fingerprint)},
+            {"asks", FingerprintToHex(r.fingerprint)},
             {"upstream", u.info.id},
             {"attempt", r.sends + static_cast<int>(r.connect_failures)},
             {"load", u.reported},
@@ -348,7 +350,7 @@
             {"own", u.in_flight},
             {"limit", u.limit_per_s.value_or(-1)},
             {"copy_from", f.copy_from.ip},
-            {"left_ms", ToMs(f.patience)}});
+            {"left_ms", ToMs(f.time_limit)}});
   uint64_t seq = r.seq;
   int attempt = r.attempt;
   UpstreamCall call;
@@ -425,7 +427,7 @@
   LogEvent(
       "request_ended",
       {{"request", r.facts.id},
-       {"asks", PrintName(r.fingerprint)},
+       {"asks", FingerprintToHex(r.fingerprint)},
        {"outcome", outcome},
        {"why", why},
        {"route", r.route ? r.route->name : ""},
--- a/src/gateway.h
+++ b/src/gateway.h
@@ -48,8 +48,9 @@
   // that are no longer counted but still running.
   double connection_share = 0.8;
   // How long the configuration counts as current after control last confirmed
-  // it (NoteInStep). Within this time a request that the configuration does not
-  // allow gets a final rejection. If zero, the rejection is always final.
+  // it (RecordConfigCurrent). Within this time a request that the configuration
+  // does not allow gets a final rejection. If zero, the rejection is always
+  // final.
   Duration config_trust{};
   // Called when a request of `account` has begun to run at an upstream, as far
   // as the answer shows. May be empty.
@@ -76,16 +77,16 @@
   // they were admitted with.
   void SetConfig(std::shared_ptr<const RoutingConfig> config);
   // Records that the configuration in force here was the newest one at `as_of`.
-  void NoteInStep(TimePoint as_of);
+  void RecordConfigCurrent(TimePoint as_of);
   void SetUpstreams(absl::Span<const UpstreamInfo> upstreams);
   // Sets how many entry processes share the upstreams and the retry budgets,
   // and the index of this process among them (negative: not known).
-  void SetServing(int entry_count, int index = -1);
+  void SetEntryCount(int entry_count, int index = -1);
   // Returns the quarantine of crash-inducing requests, which are not sent to
   // any upstream.
   Quarantine& quarantine() { return quarantine_; }
   // Returns the known rate limits that upstreams have announced.
-  const LimitBook& limits() const { return limits_; }
+  const RateLimitTable& limits() const { return limits_; }
   // Merges rate limits published by control.
   void MergeLimits(absl::Span<const LimitRecord> records);
   // Records a load report that did not come with an answer.
@@ -128,7 +129,7 @@
   void RecordBackoff(const Request& r, UpstreamBoard& u, Duration backoff);
   void ApplyLimitsToBoards();
   void ExpireLimits(TimePoint now);
-  TurnAsk SendSlotQueryFor(const UpstreamBoard& u, TimePoint now) const;
+  SendSlotQuery SendSlotQueryFor(const UpstreamBoard& u, TimePoint now) const;
   bool HasSendSlot(const UpstreamBoard& u, TimePoint now) const;
   void UseSendSlot(UpstreamBoard& u, TimePoint now);
   void CountAccountRun(Request& r);
@@ -178,7 +179,7 @@
   UpstreamPool pool_;
   CrashWatch crash_watch_;
   Quarantine quarantine_;
-  LimitBook limits_;
+  RateLimitTable limits_;
   uint64_t limit_changes_applied_ = 0;
   uint64_t quarantine_changes_seen_ = 0;
   PartMemory prefix_holders_;
@@ -188,7 +189,7 @@
   // when the count was last set. A lower count is adopted only after a delay:
   // while control processes change, some entry processes are not counted for a
   // moment, and this process would use too many slots.
-  TurnPlace send_slot_share_;
+  ProcessIndex process_index_;
   TimePoint send_slot_share_set_at_{};
   // Requests that wait for the first configuration or for a newer one.
   std::vector<uint64_t> awaiting_config_;
--- a/src/gateway_answer.cc
+++ b/src/gateway_answer.cc
@@ -34,7 +34,7 @@
     u->quiet_since = now;
     if (f.has_load) NoteReport(*u, f.running, f.waiting, now);
     RecordAnnouncedLimit(r, *u, f);
-    if (!f.other_upstream) RecordBackoff(r, *u, f.rest);
+    if (!f.other_upstream) RecordBackoff(r, *u, f.backoff);
     if (!f.other_upstream && f.leaving && pool_.RecordDraining(r.upstream)) {
       LogEvent("upstream_says_leaving", {{"upstream", r.upstream},
                                          {"request", r.facts.id},
@@ -46,7 +46,7 @@
   r.have_head = true;
   r.head_at = now;
   if (!r.answer_facts.not_run) r.may_have_run = true;
-  r.relaying = r.stream() && success && r.answer_facts.signed_whole;
+  r.relaying = r.stream() && success && r.answer_facts.has_signature;
   bool first_token_follows = r.service->engine && success;
   if (!r.answer_facts.not_run && !first_token_follows) CountAccountRun(r);
   return true;
@@ -74,7 +74,7 @@
   if (!r.relaying) {
     r.held_body.append(data.data(), data.size());
     if (r.held_body.size() > kMaxHeldAnswerBytes) {
-      HandleFailedAttempt(r, CallEnd::kBrokenOff, "answer too large");
+      HandleFailedAttempt(r, CallEnd::kInterrupted, "answer too large");
     }
     return;
   }
@@ -84,14 +84,14 @@
       data, [&](absl::string_view event) { return RelayEvent(r, event); });
   if (!FindAttempt(seq, attempt)) return;
   if (!whole) {
-    HandleFailedAttempt(r, CallEnd::kBrokenOff, "events out of order");
+    HandleFailedAttempt(r, CallEnd::kInterrupted, "events out of order");
     return;
   }
   if (r.exchange->unsent() > kMaxUnsentBytes) {
-    r.connection->PauseRead(true);
+    r.connection->SetReadPaused(true);
     r.exchange->set_on_drained([this, seq, attempt] {
       if (Request* q = FindAttempt(seq, attempt))
-        q->connection->PauseRead(false);
+        q->connection->SetReadPaused(false);
     });
   }
 }
@@ -113,7 +113,7 @@
 // Relays one event to the caller. Returns false if the event does not follow
 // the previous one.
 bool Gateway::RelayEvent(Request& r, absl::string_view event) {
-  std::optional<int64_t> id = EventId(event);
+  std::optional<int64_t> id = ParseEventId(event);
   if (id && r.last_event) {
     // A resumed run repeats events that the caller already has.
     if (*id <= *r.last_event) return true;
@@ -184,7 +184,7 @@
   r.end_detected_by = std::string(why);
   UpstreamBoard* u = pool_.Find(r.upstream);
   bool success = r.answer.status / 100 == 2;
-  if (success && !r.answer_facts.signed_whole) {
+  if (success && !r.answer_facts.has_signature) {
     HandleFailedAttempt(r, CallEnd::kNoAnswer, "success without signature");
     return;
   }
@@ -196,11 +196,11 @@
     return;
   }
   if (r.relaying && r.splitter.pending() > 0) {
-    HandleFailedAttempt(r, CallEnd::kBrokenOff, "ends inside an event");
+    HandleFailedAttempt(r, CallEnd::kInterrupted, "ends inside an event");
     return;
   }
   if (u) NoteSuccess(*u, now);
-  if (success) quarantine_.NoteServed(r.fingerprint);
+  if (success) quarantine_.RecordServed(r.fingerprint);
   last_answered_at_[r.service->name] = now;
   ReleaseUpstream(r);
   if (r.stream_started && !r.relaying) {
@@ -228,7 +228,8 @@
   HeaderList out;
   for (const auto& h : answer.headers) {
     if (IsHopByHop(h.first)) continue;
-    if (dialect_.passes_on && !dialect_.passes_on(h.first)) continue;
+    if (dialect_.forwards_header && !dialect_.forwards_header(h.first))
+      continue;
     out.push_back(h);
   }
   return out;
--- a/src/gateway_failure.cc
+++ b/src/gateway_failure.cc
@@ -39,7 +39,7 @@
       return "not_sent";
     case CallEnd::kNoAnswer:
       return "no_answer";
-    case CallEnd::kBrokenOff:
+    case CallEnd::kInterrupted:
       return "broken_off";
   }
   return "";
@@ -51,7 +51,7 @@
   TimePoint now = clock_.Now();
   if (r.exchange->gone() || r.deadline - now < kMinTimeToRetry) return false;
   // A quarantined request would crash the next upstream too.
-  if (quarantine_.Refuses(r.fingerprint)) return false;
+  if (quarantine_.IsQuarantined(r.fingerprint)) return false;
   // Waiting for a slot helps only if some upstream has not been tried.
   bool upstream_left = AnyLeft(pool_.boards(), PlacementInputFor(r));
   if (end == CallEnd::kNotSent) {
@@ -77,11 +77,11 @@
 void Gateway::CheckForUpstreamTermination(const Request& r, CallEnd end) {
   bool answered = r.have_head && end == CallEnd::kWhole;
   TimePoint now = clock_.Now();
-  if (answered && !r.answer_facts.upstream_end.empty()) {
-    bool just_begun = now - r.sent_at < kJustBegunWindow;
-    OnUpstreamCrash(absl::StrCat(r.upstream, "/", r.answer_facts.upstream_end),
-                    "told",
-                    {{r.fingerprint, {0, r.sent_at, now, just_begun, false}}});
+  if (answered && !r.answer_facts.termination_id.empty()) {
+    bool just_started = now - r.sent_at < kJustBegunWindow;
+    OnUpstreamCrash(
+        absl::StrCat(r.upstream, "/", r.answer_facts.termination_id), "told",
+        {{r.fingerprint, {0, r.sent_at, now, just_started, false}}});
   } else if (answered && r.answer_facts.other_upstream) {
     crash_watch_.RecordTermination(r.upstream, "replaced");
   } else if (end == CallEnd::kNotSent) {
@@ -89,34 +89,34 @@
       crash_watch_.RecordTermination(r.upstream, "refused");
   } else if (!answered && !r.connection->open()) {
     TimePoint began = r.have_head ? r.head_at : r.sent_at;
-    bool just_begun = now - began < kJustBegunWindow;
+    bool just_started = now - began < kJustBegunWindow;
     crash_watch_.RecordInterruptedCall(
-        r.upstream, {r.fingerprint, {0, r.sent_at, now, just_begun, false}});
+        r.upstream, {r.fingerprint, {0, r.sent_at, now, just_started, false}});
   }
 }
 
 void Gateway::OnUpstreamCrash(
     const std::string& upstream, absl::string_view how,
     const std::vector<CrashWatch::InterruptedCall>& calls) {
-  metrics_.CountCrash(how);
+  metrics_.CountUpstreamTermination(how);
   for (const CrashWatch::InterruptedCall& c : calls) {
-    quarantine_.NoteCrash(c.fingerprint, upstream, c.crash);
+    quarantine_.RecordCrash(c.fingerprint, upstream, c.crash);
     LogEvent("crashed_under", {{"upstream", upstream},
-                               {"asks", PrintName(c.fingerprint)},
+                               {"asks", FingerprintToHex(c.fingerprint)},
                                {"sent_ms", ToMs(c.crash.at - c.crash.sent_at)},
-                               {"just_begun", c.crash.just_begun ? 1 : 0}});
+                               {"just_begun", c.crash.just_started ? 1 : 0}});
   }
 }
 
 // Fails quarantined requests whose answers have not begun. Such a request may
 // still be queued at an upstream and would crash it too.
 void Gateway::FailQuarantinedRequests() {
-  if (quarantine_.verdicts() == quarantine_changes_seen_) return;
-  quarantine_changes_seen_ = quarantine_.verdicts();
-  metrics_.SetQuarantined(quarantine_.refused());
+  if (quarantine_.quarantine_changes() == quarantine_changes_seen_) return;
+  quarantine_changes_seen_ = quarantine_.quarantine_changes();
+  metrics_.SetQuarantined(quarantine_.quarantined_count());
   std::vector<uint64_t> to_fail;
   for (const auto& [seq, r] : requests_) {
-    if (!r->stream_started && quarantine_.Refuses(r->fingerprint)) {
+    if (!r->stream_started && quarantine_.IsQuarantined(r->fingerprint)) {
       to_fail.push_back(seq);
     }
   }
@@ -151,7 +151,7 @@
   }
   LogEvent("attempt_failed",
            {{"request", r.facts.id},
-            {"asks", PrintName(r.fingerprint)},
+            {"asks", FingerprintToHex(r.fingerprint)},
             {"upstream", r.upstream},
             {"attempt", r.sends + static_cast<int>(r.connect_failures)},
             {"end", Name(end)},
@@ -203,7 +203,7 @@
     backoff = RestLeft(pool_.boards(), r.service->name, clock_.Now());
   }
   if (backoff > Duration::zero()) seconds = kMinRetryAfterSeconds;
-  return backoff + BoundedSeconds(seconds * spread(random_));
+  return backoff + ClampedSeconds(seconds * spread(random_));
 }
 
 // Reports to the tier guard a request rejected for lack of capacity, unless no
@@ -220,7 +220,7 @@
 
 // Sends the final answer of a request that gets none from an upstream.
 void Gateway::FailRequest(Request& r, ErrorKind kind, absl::string_view why) {
-  const Answer& a = AnswerFor(kind);
+  const ErrorAnswer& a = ErrorAnswerFor(kind);
   if (r.stream_started) {
     // An interrupted stream must not look complete.
     r.exchange->Abort();
@@ -229,9 +229,9 @@
   }
   if (r.sends == 0 && r.service && IsCapacityRejection(kind))
     RecordCapacityRejection(r);
-  metrics_.CountRefusal(a.code);
-  Refusal refusal =
-      dialect_.write_refusal(kind, why, ComputeRetryAfter(r, kind));
+  metrics_.CountRejection(a.code);
+  ErrorResponse refusal =
+      dialect_.write_error_response(kind, why, ComputeRetryAfter(r, kind));
   r.exchange->Respond(a.http_status, refusal.headers, refusal.body);
   FinishRequest(r, a.code, why);
 }
--- a/src/gateway_limits.cc
+++ b/src/gateway_limits.cc
@@ -15,15 +15,15 @@
 
 }  // namespace
 
-void Gateway::SetServing(int entry_count, int index) {
+void Gateway::SetEntryCount(int entry_count, int index) {
   entry_count_ = std::max(1, entry_count);
   TimePoint now = clock_.Now();
-  bool fewer = entry_count_ < send_slot_share_.serving;
+  bool fewer = entry_count_ < process_index_.process_count;
   if (!fewer || now - send_slot_share_set_at_ > kFewerEntriesDelay) {
-    send_slot_share_.serving = entry_count_;
+    process_index_.process_count = entry_count_;
     send_slot_share_set_at_ = now;
   }
-  if (index >= 0) send_slot_share_.place = index;
+  if (index >= 0) process_index_.index = index;
 }
 
 // Records the rate limit that an answer announces, or the end of the limit if
@@ -31,10 +31,10 @@
 // a limit: an answer damaged on its way may lack the limit header too.
 void Gateway::RecordAnnouncedLimit(const Request& r, const UpstreamBoard& u,
                                    const AnswerFacts& f) {
-  if (f.other_upstream || (!f.limit_per_s && !f.signed_whole)) return;
-  if (f.limit_per_s) metrics_.CountLimitTold();
+  if (f.other_upstream || (!f.limit_per_s && !f.has_signature)) return;
+  if (f.limit_per_s) metrics_.CountStatedLimit();
   std::optional<double> before = u.limit_per_s;
-  if (!limits_.Note(u.info.id, f.limit_per_s, clock_.Now())) return;
+  if (!limits_.RecordLimit(u.info.id, f.limit_per_s, clock_.Now())) return;
   LogEvent("upstream_limit", {{"upstream", u.info.id},
                               {"request", r.facts.id},
                               {"per_s", f.limit_per_s.value_or(-1)},
@@ -47,7 +47,7 @@
                             Duration backoff) {
   if (backoff == Duration::zero()) return;
   TimePoint now = clock_.Now();
-  metrics_.CountRest();
+  metrics_.CountRequestedBackoff();
   LogEvent("upstream_rest",
            {{"upstream", u.info.id},
             {"request", r.facts.id},
@@ -60,7 +60,7 @@
 
 void Gateway::MergeLimits(absl::Span<const LimitRecord> records) {
   uint64_t before = limits_.changes();
-  limits_.TakeTold(records);
+  limits_.MergePublished(records);
   if (limits_.changes() != before) ApplyLimitsToBoards();
 }
 
@@ -77,37 +77,39 @@
              {{"upstream", u.info.id},
               {"per_s", per_s.value_or(-1)},
               {"heard_ms", l ? ToMs(clock_.Now() - l->at) : -1},
-              {"serving", send_slot_share_.serving},
-              {"place", send_slot_share_.place}});
+              {"serving", process_index_.process_count},
+              {"place", process_index_.index}});
     u.limit_per_s = per_s;
     if (!per_s) u.no_turn = false;
   }
-  metrics_.SetLimited(limits_.in_force());
+  metrics_.SetLimitedUpstreams(limits_.limits_in_force());
 }
 
 void Gateway::ExpireLimits(TimePoint now) {
-  limits_.Keep(
+  limits_.RemoveStaleLimits(
       [this](const std::string& id) { return pool_.Find(id) != nullptr; }, now);
   if (limits_.changes() != limit_changes_applied_) ApplyLimitsToBoards();
 }
 
-TurnAsk Gateway::SendSlotQueryFor(const UpstreamBoard& u, TimePoint now) const {
+SendSlotQuery Gateway::SendSlotQueryFor(const UpstreamBoard& u,
+                                        TimePoint now) const {
   Millis time =
       options_.group_time
           ? options_.group_time(now)
           : std::chrono::duration_cast<Millis>(now.time_since_epoch());
-  return {u.info.id, *u.limit_per_s, send_slot_share_, time};
+  return {u.info.id, *u.limit_per_s, process_index_, time};
 }
 
 // Returns whether this process may send to `u` now under its rate limit.
 // Precondition: `u` has announced a limit.
 bool Gateway::HasSendSlot(const UpstreamBoard& u, TimePoint now) const {
-  return TurnsHaveBegun(u.limit_since, now) &&
-         OpenTurn(SendSlotQueryFor(u, now), u.turn_taken).has_value();
+  return InitialHoldElapsed(u.limit_since, now) &&
+         FindOpenSendSlot(SendSlotQueryFor(u, now), u.turn_taken).has_value();
 }
 
 void Gateway::UseSendSlot(UpstreamBoard& u, TimePoint now) {
-  std::optional<Millis> slot = OpenTurn(SendSlotQueryFor(u, now), u.turn_taken);
+  std::optional<Millis> slot =
+      FindOpenSendSlot(SendSlotQueryFor(u, now), u.turn_taken);
   if (slot) u.turn_taken = slot;
 }
 
--- a/src/gateway_request.h
+++ b/src/gateway_request.h
@@ -31,7 +31,7 @@
   const RouteRule* route = nullptr;
   const ServiceRule* service = nullptr;
   std::string account;
-  RequestPrint fingerprint = 0;
+  RequestFingerprint fingerprint = 0;
   Tier tier = 0;
   Tier rank = 0;  // Priority by tier, then by the account's tier.
   uint64_t affinity = 0;
--- a/src/h2_connection.h
+++ b/src/h2_connection.h
@@ -464,7 +464,7 @@
                                  size_t length, uint32_t* flags,
                                  nghttp2_data_source* source, void*) {
     auto* body = static_cast<Payload*>(source->ptr);
-    size_t n = body->Take(buf, length);
+    size_t n = body->Dequeue(buf, length);
     if (body->empty()) *flags |= NGHTTP2_DATA_FLAG_EOF;
     return static_cast<ssize_t>(n);
   }
@@ -473,7 +473,7 @@
                                 size_t length, uint32_t* flags,
                                 nghttp2_data_source* source, void*) {
     auto* s = static_cast<H2Stream*>(source->ptr);
-    size_t n = s->unsent_body_.Take(buf, length);
+    size_t n = s->unsent_body_.Dequeue(buf, length);
     if (s->unsent_body_.empty()) {
       if (s->finished_) {
         *flags |= NGHTTP2_DATA_FLAG_EOF;
--- a/src/http1.cc
+++ b/src/http1.cc
@@ -32,7 +32,7 @@
   void on_request_impl(http::verb, beast::string_view method,
                        beast::string_view target, int version,
                        error_code&) override {
-    head_.reads_chunks = version >= kHttp11;
+    head_.accepts_chunked = version >= kHttp11;
     head_.method = std::string(ToStringView(method));
     head_.target = std::string(ToStringView(target));
   }
@@ -83,15 +83,15 @@
 
 }  // namespace
 
-absl::string_view EndName(EndKnownBy by) {
+absl::string_view EndDetectionName(EndDetection by) {
   switch (by) {
-    case EndKnownBy::kLength:
+    case EndDetection::kLength:
       return "length";
-    case EndKnownBy::kLastChunk:
+    case EndDetection::kLastChunk:
       return "last_chunk";
-    case EndKnownBy::kClose:
+    case EndDetection::kClose:
       return "close";
-    case EndKnownBy::kStreamEnd:
+    case EndDetection::kStreamEnd:
       return "stream_end";
   }
   return "";
@@ -104,12 +104,12 @@
   return nullptr;
 }
 
-std::string MessageHead::Value(absl::string_view name) const {
+std::string MessageHead::HeaderValue(absl::string_view name) const {
   const std::string* v = Find(name);
   return v ? std::string(absl::StripAsciiWhitespace(*v)) : "";
 }
 
-int MessageHead::Count(absl::string_view name) const {
+int MessageHead::CountHeaders(absl::string_view name) const {
   int n = 0;
   for (const auto& [k, v] : headers) n += absl::EqualsIgnoreCase(k, name);
   return n;
@@ -194,10 +194,10 @@
   return impl_->Visit([](auto& p) { return p.need_eof(); });
 }
 
-EndKnownBy Http1Parser::end_known_by() const {
+EndDetection Http1Parser::end_detection() const {
   return impl_->Visit([](auto& p) {
-    if (p.chunked()) return EndKnownBy::kLastChunk;
-    return p.need_eof() ? EndKnownBy::kClose : EndKnownBy::kLength;
+    if (p.chunked()) return EndDetection::kLastChunk;
+    return p.need_eof() ? EndDetection::kClose : EndDetection::kLength;
   });
 }
 
--- a/src/http1.h
+++ b/src/http1.h
@@ -27,22 +27,22 @@
   std::string reason;  // Answers only: reason phrase.
   HeaderList headers;
   bool keep_alive = false;
-  bool reads_chunks = true;  // Requests only: false for an HTTP/1.0 sender.
+  bool accepts_chunked = true;  // Requests only: false for an HTTP/1.0 sender.
   std::optional<uint64_t> content_length;
 
   // Returns the first value of header `name` (case-insensitive), or nullptr.
   const std::string* Find(absl::string_view name) const;
   // Returns the first value of header `name` (case-insensitive) without
   // surrounding whitespace, or "" if the header is absent.
-  std::string Value(absl::string_view name) const;
+  std::string HeaderValue(absl::string_view name) const;
   // Returns the number of headers named `name` (case-insensitive).
-  int Count(absl::string_view name) const;
+  int CountHeaders(absl::string_view name) const;
 };
 
 // How the end of a message was detected. With kLength and kLastChunk the
 // message itself states its end; with kClose and kStreamEnd the end of the
 // connection or stream is the only evidence.
-enum class EndKnownBy {
+enum class EndDetection {
   kLength,     // The head states the length, or that there is no body.
   kLastChunk,  // The last chunk of a chunked body was received.
   kClose,      // The peer closed the connection in an orderly way.
@@ -50,7 +50,7 @@
 };
 
 // Returns the name of `by` for the log.
-absl::string_view EndName(EndKnownBy by);
+absl::string_view EndDetectionName(EndDetection by);
 
 // Callbacks that receive a parsed message. They must not destroy the parser.
 struct MessageSink {
@@ -89,7 +89,7 @@
   // Returns whether the message is delimited by the end of its connection.
   bool is_close_delimited() const;
   // Returns how the end of the message was detected. Precondition: done().
-  EndKnownBy end_known_by() const;
+  EndDetection end_detection() const;
   // Prepares for the next message. Precondition: done() or not started().
   void Reset();
   // States that the next answer has no body because it answers a HEAD request.
--- a/src/http1_client.cc
+++ b/src/http1_client.cc
@@ -118,7 +118,7 @@
     }
     if (!s.ok()) {
       Close();
-      EndCall(answers_call_ ? CallEnd::kBrokenOff : CallEnd::kNoAnswer,
+      EndCall(answers_call_ ? CallEnd::kInterrupted : CallEnd::kNoAnswer,
               absl::StrCat("not HTTP: ", s.message()));
       return;
     }
@@ -144,7 +144,7 @@
   // be parsed as the next answer, or when the request is not completely sent:
   // the upstream would parse the rest of its body as the next request.
   if (!received_.empty() || !reusable_ || (tcp_ && tcp_->unsent() > 0)) Close();
-  EndCall(CallEnd::kWhole, EndName(parser_.end_known_by()));
+  EndCall(CallEnd::kWhole, EndDetectionName(parser_.end_detection()));
 }
 
 void Http1Client::OnClosed(const absl::Status& status) {
@@ -160,10 +160,10 @@
   if (status.ok() && answers_call_ && parser_.is_close_delimited() &&
       parser_.FeedEof().ok()) {
     message_end_ = false;
-    EndCall(CallEnd::kWhole, EndName(EndKnownBy::kClose));
+    EndCall(CallEnd::kWhole, EndDetectionName(EndDetection::kClose));
     return;
   }
-  EndCall(answers_call_ ? CallEnd::kBrokenOff : CallEnd::kNoAnswer, why);
+  EndCall(answers_call_ ? CallEnd::kInterrupted : CallEnd::kNoAnswer, why);
 }
 
 void Http1Client::EndCall(CallEnd end, absl::string_view why) {
@@ -185,8 +185,8 @@
   if (tcp_) tcp_->Close();
 }
 
-void Http1Client::PauseRead(bool paused) {
-  if (tcp_) tcp_->PauseRead(paused);
+void Http1Client::SetReadPaused(bool paused) {
+  if (tcp_) tcp_->SetReadPaused(paused);
 }
 
 }  // namespace medlarwalk
--- a/src/http1_client.h
+++ b/src/http1_client.h
@@ -45,7 +45,7 @@
   }
   bool refused() const override { return tcp_ && tcp_->refused(); }
   bool sent() const override { return sent_; }
-  void PauseRead(bool paused) override;
+  void SetReadPaused(bool paused) override;
   TimePoint idle_since() const override { return idle_since_; }
   // Returns the idle time stated by the upstream, or a default.
   Duration keep_for() const override { return keep_alive_time_; }
--- a/src/ledger.cc
+++ b/src/ledger.cc
@@ -51,12 +51,12 @@
     std::string op = r.at("op").get<std::string>();
     if (op == "start") {
       LedgerEntry started;
-      started.fingerprint = WholeNumber(r, "fp", uint64_t{0});
+      started.fingerprint = IntegerFromJson(r, "fp", uint64_t{0});
       (*entries)[key] = started;
     } else if (op == "done") {
       LedgerEntry& e = (*entries)[key];
       e.done = true;
-      e.http_status = WholeNumber(r, "status", 0);
+      e.http_status = IntegerFromJson(r, "status", 0);
       e.body = r.value("body", "");
     } else if (op == "abandon") {
       entries->erase(key);
--- a/src/lister.cc
+++ b/src/lister.cc
@@ -34,13 +34,13 @@
 
 }  // namespace
 
-Duration ListInterval(const ListLength& length, double calls_per_s) {
+Duration ListPollInterval(const ListLength& length, double calls_per_s) {
   Duration d = std::clamp<Duration>(
       static_cast<int64_t>(length.upstreams) * kIntervalPerUpstream,
       kMinInterval, kMaxInterval);
   if (calls_per_s <= 0) return d;
   return std::max(d,
-                  BoundedSeconds(length.pages / (calls_per_s * kMaxCallShare)));
+                  ClampedSeconds(length.pages / (calls_per_s * kMaxCallShare)));
 }
 
 Lister::Lister(struct ev_loop* loop, const Clock& clock, ListSource source)
@@ -84,7 +84,8 @@
   page_requested_at_ = clock_.Now();
   if (!client_ || !client_->open() ||
       clock_.Now() - client_->idle_since() > client_->keep_for()) {
-    client_ = Http1Client::Open(loop_, clock_, source_.at, kConnectTimeout);
+    client_ =
+        Http1Client::Open(loop_, clock_, source_.endpoint, kConnectTimeout);
   }
   body_.clear();
   status_ = 0;
@@ -111,7 +112,7 @@
     // together.
     std::uniform_real_distribution<double> jitter(0.5, 1.5);
     retry_at_ =
-        clock_.Now() + BoundedSeconds(ToSeconds(kRetryDelay) * jitter(random_));
+        clock_.Now() + ClampedSeconds(ToSeconds(kRetryDelay) * jitter(random_));
     return;
   }
   if (end != CallEnd::kWhole || status_ != 200) {
@@ -124,12 +125,12 @@
     Finish(page.status());
     return;
   }
-  unusable_entries_ += page->unusable;
+  unusable_entries_ += page->unusable_entries;
   for (UpstreamInfo& u : page->upstreams) {
     upstreams_.push_back(std::move(u));
   }
   ++pages_read_;
-  if (page->next.empty()) {
+  if (page->next_token.empty()) {
     if (unusable_entries_ != logged_unusable_) {
       LogWarn("list_entries_unusable", {{"entries", unusable_entries_}});
       logged_unusable_ = unusable_entries_;
@@ -142,7 +143,7 @@
     Finish(absl::UnavailableError("too many pages"));
     return;
   }
-  RequestPage(page->next);
+  RequestPage(page->next_token);
 }
 
 void Lister::Finish(absl::StatusOr<std::vector<UpstreamInfo>> r) {
--- a/src/lister.h
+++ b/src/lister.h
@@ -22,13 +22,13 @@
 // One page of the list.
 struct ListPage {
   std::vector<UpstreamInfo> upstreams;
-  std::string next;  // Token of the next page; empty on the last page.
-  int unusable = 0;  // Number of entries that do not describe an upstream.
+  std::string next_token;    // Token of the next page; empty on the last page.
+  int unusable_entries = 0;  // Entries that do not describe an upstream.
 };
 
 // The external source of the list.
 struct ListSource {
-  Endpoint at;
+  Endpoint endpoint;
   // Returns the request for the page with this token ("" for the first page).
   std::function<OutgoingRequest(absl::string_view token)> encode;
   // Parses the body of an answer.
@@ -54,7 +54,7 @@
 //   stays below half of the shortest time that operators allow.
 // - Reads use at most half of the calls that the source accepts, because other
 //   processes must reach it too.
-Duration ListInterval(const ListLength& length, double calls_per_s);
+Duration ListPollInterval(const ListLength& length, double calls_per_s);
 
 // Reads the list of upstreams. Thread safety: loop thread only.
 class Lister {
--- a/src/load.cc
+++ b/src/load.cc
@@ -284,7 +284,7 @@
   return w;
 }
 
-void FillFromSettings(const Settings& s, Workload& w) {
+void FillWorkloadFromSettings(const Settings& s, Workload& w) {
   if (w.targets.empty()) {
     for (const auto& h : s.hosts) {
       if (h.role == "entry")
@@ -298,11 +298,11 @@
   }
 }
 
-LoadReport RunLoad(const Workload& w) {
+LoadTestReport RunLoadTest(const Workload& w) {
   long long before = w.engines.empty() ? 0 : SumGeneratedTokens(w.engines);
   LoadRunner runner(w);
   std::vector<std::unique_ptr<RequestOutcome>> outcomes = runner.Run();
-  LoadReport r;
+  LoadTestReport r;
   std::vector<std::vector<double>> ttft(w.classes.size());
   for (const auto& c : w.classes)
     r.classes.push_back(ClassReport{c.class_name});
@@ -350,7 +350,7 @@
   return r;
 }
 
-std::string FormatReportTable(const LoadReport& r) {
+std::string FormatReportTable(const LoadTestReport& r) {
   std::string out = absl::StrFormat("%-18s %6s %6s %6s %7s %5s %7s %10s %9s\n",
                                     "class", "sent", "whole", "met", "refused",
                                     "cut", "crossed", "attainment", "p95_ttft");
@@ -370,7 +370,7 @@
   return out;
 }
 
-std::string FormatReportJson(const LoadReport& r) {
+std::string FormatReportJson(const LoadTestReport& r) {
   json classes = json::array();
   for (const auto& c : r.classes) {
     classes.push_back({{"class", c.class_name},
--- a/src/load.h
+++ b/src/load.h
@@ -62,7 +62,7 @@
 };
 
 // Results of one run.
-struct LoadReport {
+struct LoadTestReport {
   std::vector<ClassReport> classes;
   double goodput_tokens_s = 0;
   long long tokens_generated = -1;  // By all engines; -1: no engines given.
@@ -70,20 +70,20 @@
   long long wasted_tokens = -1;
 };
 
-// Parses a workload. Targets and engines may be left out; FillFromSettings adds
-// them. Errors: InvalidArgument with the reason.
+// Parses a workload. Targets and engines may be left out;
+// FillWorkloadFromSettings adds them. Errors: InvalidArgument with the reason.
 absl::StatusOr<Workload> ParseWorkload(absl::string_view json_text);
 
 // Sets empty targets to the entries in the settings and empty engines to the
 // engine upstreams in the settings.
-void FillFromSettings(const Settings& s, Workload& w);
+void FillWorkloadFromSettings(const Settings& s, Workload& w);
 
 // Runs `w` to its end in a libev loop of its own and returns the results.
-LoadReport RunLoad(const Workload& w);
+LoadTestReport RunLoadTest(const Workload& w);
 
 // Formats the report as a table for people or as JSON for tools.
-std::string FormatReportTable(const LoadReport& r);
-std::string FormatReportJson(const LoadReport& r);
+std::string FormatReportTable(const LoadTestReport& r);
+std::string FormatReportJson(const LoadTestReport& r);
 
 }  // namespace medlarwalk
 
--- a/src/loop_watch.cc
+++ b/src/loop_watch.cc
@@ -68,7 +68,7 @@
   LogEvent("slow_turn", {{"ms", ToMs(elapsed)}});
 }
 
-Duration LoopWatch::longest() const {
+Duration LoopWatch::longest_iteration() const {
   Duration current =
       in_iteration_ ? clock_.Now() - iteration_started_ : Duration::zero();
   return std::max({current, longest_this_second_, longest_last_second_});
--- a/src/loop_watch.h
+++ b/src/loop_watch.h
@@ -27,7 +27,7 @@
   TimePoint iteration_started() const { return iteration_started_; }
   // Returns the longest iteration of this second and the previous one,
   // including the current iteration.
-  Duration longest() const;
+  Duration longest_iteration() const;
 
  private:
   static void OnCheck(struct ev_loop* loop, ev_check* w, int revents);
--- a/src/main.cc
+++ b/src/main.cc
@@ -119,7 +119,7 @@
   if (command == "fake-engine") {
     FakeEngineOptions o;
     o.port = PortFromUrl(u->url);
-    o.step = Millis(absl::GetFlag(FLAGS_step_ms));
+    o.step_time = Millis(absl::GetFlag(FLAGS_step_ms));
     o.checks_fencing = !absl::GetFlag(FLAGS_ignore_fencing);
     FakeEngine engine(loop, clock, o);
     return Serve(loop, engine);
@@ -154,10 +154,10 @@
   if (!w.ok()) return PrintError(w.status());
   absl::StatusOr<Settings> settings = LoadSelectedSettings();
   if (!settings.ok()) return PrintError(settings.status());
-  FillFromSettings(*settings, *w);
+  FillWorkloadFromSettings(*settings, *w);
   if (w->targets.empty())
     return PrintError(absl::InvalidArgumentError("load: no targets"));
-  LoadReport r = RunLoad(*w);
+  LoadTestReport r = RunLoadTest(*w);
   std::cout << FormatReportTable(r);
   if (!absl::GetFlag(FLAGS_json).empty()) {
     std::ofstream(absl::GetFlag(FLAGS_json)) << FormatReportJson(r) << "\n";
--- a/src/own_api.cc
+++ b/src/own_api.cc
@@ -60,7 +60,8 @@
 }
 
 std::string ErrorBody(ErrorKind kind, absl::string_view reason) {
-  return json{{"error", {{"code", AnswerFor(kind).code}, {"message", reason}}}}
+  return json{
+      {"error", {{"code", ErrorAnswerFor(kind).code}, {"message", reason}}}}
       .dump();
 }
 
@@ -70,13 +71,13 @@
   if (head.method != "POST") {
     return MakeError(ErrorKind::kBadRequest, "only POST is served");
   }
-  std::string name = head.Value(kHeaderAccount);
+  std::string name = head.HeaderValue(kHeaderAccount);
   const AccountSettings* account = s.FindAccount(name);
   if (!account) {
     return MakeError(ErrorKind::kUnknownAccount,
                      absl::StrCat("unknown client account '", name, "'"));
   }
-  std::string klass = head.Value(kHeaderClass);
+  std::string klass = head.HeaderValue(kHeaderClass);
   const ClassSettings* c = s.FindClass(klass);
   const auto& allowed_classes = account->classes;
   if (!c || std::find(allowed_classes.begin(), allowed_classes.end(), klass) ==
@@ -109,9 +110,9 @@
   facts->path = ModelPath(model);
   bool streams = doc.contains("stream") && doc["stream"].is_boolean() &&
                  doc["stream"].get<bool>();
-  facts->kind = streams ? RequestKind::kStream : RequestKind::kOnce;
+  facts->kind = streams ? RequestKind::kStream : RequestKind::kAtMostOnce;
   if (doc.contains("max_tokens") && doc["max_tokens"].is_number_integer()) {
-    facts->most_output_tokens = doc["max_tokens"];
+    facts->max_output_tokens = doc["max_tokens"];
   }
   int64_t prompt_chars = 0;
   std::string first_text;
@@ -141,7 +142,7 @@
                      absl::StrCat("no plain service '", name, "'"));
   }
   facts->path = ServicePath(name);
-  facts->kind = RequestKind::kOnce;
+  facts->kind = RequestKind::kAtMostOnce;
   return absl::OkStatus();
 }
 
@@ -158,14 +159,15 @@
                         ? ReadServiceRequest(s, path, &facts)
                         : MakeError(ErrorKind::kBadRequest, "no such route");
   if (!st.ok()) return st;
-  std::string key = head.Value(kHeaderIdempotencyKey);
-  facts.repeatable = key.empty() && head.Value(kHeaderNotRepeatable).empty();
+  std::string key = head.HeaderValue(kHeaderIdempotencyKey);
+  facts.repeatable =
+      key.empty() && head.HeaderValue(kHeaderNotRepeatable).empty();
   // Requests with the same key go to the same upstream, because its agent's
   // ledger records whether one of them was started.
   if (!key.empty()) facts.pinned = std::max<uint64_t>(1, StableHash(key));
   int64_t ms = 0;
-  if (absl::SimpleAtoi(head.Value(kHeaderDeadlineMs), &ms) && ms > 0) {
-    facts.patience = BoundedMs(static_cast<double>(ms));
+  if (absl::SimpleAtoi(head.HeaderValue(kHeaderDeadlineMs), &ms) && ms > 0) {
+    facts.time_limit = ClampedMs(static_cast<double>(ms));
   }
   return facts;
 }
@@ -185,9 +187,9 @@
   out.headers = {{kH2Upstream, facts.upstream_id},
                  {kH2RequestId, facts.id},
                  {"content-type", "application/json"}};
-  std::string key = head.Value(kHeaderIdempotencyKey);
+  std::string key = head.HeaderValue(kHeaderIdempotencyKey);
   if (!key.empty()) out.headers.emplace_back(kH2IdempotencyKey, key);
-  if (!key.empty() || !head.Value(kHeaderNotRepeatable).empty()) {
+  if (!key.empty() || !head.HeaderValue(kHeaderNotRepeatable).empty()) {
     out.headers.emplace_back(kH2NotRepeatable, "1");
   }
   return out;
@@ -195,19 +197,19 @@
 
 AnswerFacts ReadAnswer(const MessageHead& head) {
   AnswerFacts facts;
-  ErrorKind kind = KindFromCode(head.Value(kH2ErrorKind));
+  ErrorKind kind = KindFromCode(head.HeaderValue(kH2ErrorKind));
   facts.not_run = kind == ErrorKind::kNotRun || kind == ErrorKind::kDraining ||
                   kind == ErrorKind::kNoUpstream;
-  facts.signed_whole = head.Find(kH2ErrorKind) == nullptr;
-  facts.upstream_end = head.Value(kH2UpstreamEnd);
+  facts.has_signature = head.Find(kH2ErrorKind) == nullptr;
+  facts.termination_id = head.HeaderValue(kH2UpstreamEnd);
   return facts;
 }
 
-Refusal WriteRefusal(ErrorKind kind, absl::string_view reason,
-                     Duration retry_after) {
-  Refusal r;
+ErrorResponse WriteRefusal(ErrorKind kind, absl::string_view reason,
+                           Duration retry_after) {
+  ErrorResponse r;
   r.headers = {{"Content-Type", "application/json"}};
-  if (AnswerFor(kind).retry_after) {
+  if (ErrorAnswerFor(kind).retry_after) {
     double seconds = std::max(1.0, std::ceil(ToSeconds(retry_after)));
     r.headers.emplace_back("Retry-After",
                            absl::StrCat(static_cast<int64_t>(seconds)));
@@ -218,8 +220,8 @@
 
 }  // namespace
 
-Dialect OwnDialect(std::shared_ptr<const Settings> settings,
-                   const std::string& entry) {
+Dialect NativeApiDialect(std::shared_ptr<const Settings> settings,
+                         const std::string& entry) {
   Dialect d;
   auto next_request_number = std::make_shared<uint64_t>(0);
   d.read_request = [settings, entry, next_request_number](
@@ -232,14 +234,14 @@
   d.write_request = WriteRequest;
   d.read_answer = ReadAnswer;
   // Agents' headers with this prefix are meant for entries, not for callers.
-  d.passes_on = [](absl::string_view name) {
+  d.forwards_header = [](absl::string_view name) {
     return !absl::StartsWith(name, "mw-");
   };
-  d.write_refusal = WriteRefusal;
+  d.write_error_response = WriteRefusal;
   return d;
 }
 
-RoutingConfig OwnRouting(const Settings& settings) {
+RoutingConfig RoutingFromSettings(const Settings& settings) {
   RoutingConfig c;
   c.version = settings.version;
   c.limits.body_bytes = kMaxBodyBytes;
@@ -273,11 +275,11 @@
       c.routes.push_back(std::move(r));
     }
   }
-  IndexConfig(&c);
+  BuildConfigIndexes(&c);
   return c;
 }
 
-std::vector<UpstreamInfo> OwnUpstreams(const Settings& settings) {
+std::vector<UpstreamInfo> UpstreamsFromSettings(const Settings& settings) {
   std::vector<UpstreamInfo> list;
   for (const UpstreamSettings& u : settings.upstreams) {
     const HostSettings* agent = settings.FindHost(u.agent);
--- a/src/own_api.h
+++ b/src/own_api.h
@@ -1,6 +1,6 @@
-// Adapts medlarwalk's own API to the types of the core: the API for callers
-// (OpenAI-style completions and plain services, with account and class in
-// headers), the settings file and the agents. This code makes no routing
+// Adapts the native API of medlarwalk to the types of the core: the API for
+// callers (OpenAI-style completions and plain services, with account and class
+// in headers), the settings file and the agents. This code makes no routing
 // decisions.
 #ifndef MEDLARWALK_OWN_API_H_
 #define MEDLARWALK_OWN_API_H_
@@ -17,15 +17,15 @@
 
 // Returns the functions that read and write the messages of callers and agents.
 // Request ids begin with `entry`. Precondition: *settings has been validated.
-Dialect OwnDialect(std::shared_ptr<const Settings> settings,
-                   const std::string& entry);
+Dialect NativeApiDialect(std::shared_ptr<const Settings> settings,
+                         const std::string& entry);
 
 // Returns the routes from every class to every model and plain service.
 // Engines that serve the same set of models form one service.
-RoutingConfig OwnRouting(const Settings& settings);
+RoutingConfig RoutingFromSettings(const Settings& settings);
 
 // Returns the upstreams declared in the settings, none of them draining.
-std::vector<UpstreamInfo> OwnUpstreams(const Settings& settings);
+std::vector<UpstreamInfo> UpstreamsFromSettings(const Settings& settings);
 
 }  // namespace medlarwalk
 
--- a/src/policy/change_reports.h
+++ b/src/policy/change_reports.h
@@ -14,26 +14,26 @@
 // Reports of one source to one target at a time. Thread safety: loop thread
 // only.
 template <typename Source>
-class ChangeReports {
+class ReportTracker {
  public:
   // Precondition: `source` outlives this.
-  explicit ChangeReports(const Source& source) : source_(source) {}
+  explicit ReportTracker(const Source& source) : source_(source) {}
 
   // Returns the records to report to `target` next: those that it has not
   // confirmed.
-  auto For(const std::string& target) {
+  auto RecordsToReport(const std::string& target) {
     if (target != target_) confirmed_ = 0;
     target_ = target;
     sent_ = source_.seq();
     return source_.ChangedSince(confirmed_, kMaxRecordsPerReport);
   }
   // Records that the target has received the last report.
-  void Confirmed() { confirmed_ = sent_; }
+  void OnDelivered() { confirmed_ = sent_; }
   // Records that the target failed. It may have lost all earlier reports, so
   // the next report contains all records again.
-  void Lost() { confirmed_ = 0; }
+  void OnTargetLost() { confirmed_ = 0; }
   // Returns whether records have changed since the last report.
-  bool waiting() const { return source_.seq() > sent_; }
+  bool has_unreported() const { return source_.seq() > sent_; }
 
  private:
   // Records in one report: enough for the crash of a whole rack of engines.
--- a/src/policy/limit_book.cc
+++ b/src/policy/limit_book.cc
@@ -25,8 +25,8 @@
 
 }  // namespace
 
-bool LimitBook::Note(const std::string& upstream, std::optional<double> per_s,
-                     TimePoint now) {
+bool RateLimitTable::RecordLimit(const std::string& upstream,
+                                 std::optional<double> per_s, TimePoint now) {
   auto it = entries_.find(upstream);
   std::optional<double> before;
   if (it != entries_.end()) before = it->second.record.per_s;
@@ -36,7 +36,7 @@
   return true;
 }
 
-void LimitBook::MergeRecord(const LimitRecord& r, bool forward) {
+void RateLimitTable::MergeRecord(const LimitRecord& r, bool forward) {
   auto it = entries_.find(r.upstream);
   if (it == entries_.end()) {
     if (entries_.size() >= kMaxEntries) return;
@@ -53,16 +53,16 @@
   RecordChange();
 }
 
-void LimitBook::TakeReported(absl::Span<const LimitRecord> records) {
+void RateLimitTable::MergeReported(absl::Span<const LimitRecord> records) {
   for (const LimitRecord& r : records) MergeRecord(r, true);
 }
 
-void LimitBook::TakeTold(absl::Span<const LimitRecord> records) {
+void RateLimitTable::MergePublished(absl::Span<const LimitRecord> records) {
   for (const LimitRecord& r : records) MergeRecord(r, false);
 }
 
-void LimitBook::Keep(const std::function<bool(const std::string&)>& listed,
-                     TimePoint now) {
+void RateLimitTable::RemoveStaleLimits(
+    const std::function<bool(const std::string&)>& listed, TimePoint now) {
   bool any_removed = false;
   for (auto it = entries_.begin(); it != entries_.end();) {
     const LimitRecord& r = it->second.record;
@@ -77,26 +77,26 @@
   if (any_removed) RecordChange();
 }
 
-const LimitRecord* LimitBook::Find(const std::string& upstream) const {
+const LimitRecord* RateLimitTable::Find(const std::string& upstream) const {
   auto it = entries_.find(upstream);
   if (it == entries_.end() || !it->second.record.per_s) return nullptr;
   return &it->second.record;
 }
 
-std::vector<LimitRecord> LimitBook::All() const {
+std::vector<LimitRecord> RateLimitTable::All() const {
   std::vector<LimitRecord> out;
   for (const auto& [upstream, e] : entries_) out.push_back(e.record);
   return out;
 }
 
-size_t LimitBook::in_force() const {
+size_t RateLimitTable::limits_in_force() const {
   return static_cast<size_t>(std::count_if(
       entries_.begin(), entries_.end(),
       [](const auto& e) { return e.second.record.per_s.has_value(); }));
 }
 
-std::vector<LimitRecord> LimitBook::ChangedSince(uint64_t seq,
-                                                 size_t max_records) const {
+std::vector<LimitRecord> RateLimitTable::ChangedSince(
+    uint64_t seq, size_t max_records) const {
   std::vector<LimitRecord> out;
   for (const auto& [upstream, e] : entries_) {
     if (e.seq > seq && out.size() < max_records) out.push_back(e.record);
@@ -104,7 +104,7 @@
   return out;
 }
 
-void LimitBook::RecordChange() {
+void RateLimitTable::RecordChange() {
   ++changes_;
   std::string text;
   for (const auto& [upstream, e] : entries_) {
--- a/src/policy/limit_book.h
+++ b/src/policy/limit_book.h
@@ -32,23 +32,23 @@
 };
 
 // The known limits, by upstream. Thread safety: loop thread only.
-class LimitBook {
+class RateLimitTable {
  public:
   // Records that an answer of `upstream` announces the limit `per_s`, or no
   // limit. Returns whether the limit changed.
-  bool Note(const std::string& upstream, std::optional<double> per_s,
-            TimePoint now);
+  bool RecordLimit(const std::string& upstream, std::optional<double> per_s,
+                   TimePoint now);
   // Merges records that other processes report to this one. The newest record
   // of each upstream wins, in whatever order and however often records arrive.
   // Merged changes are forwarded: ChangedSince returns them.
-  void TakeReported(absl::Span<const LimitRecord> records);
+  void MergeReported(absl::Span<const LimitRecord> records);
   // Merges records published by the process that this one reports to. They are
   // not reported back.
-  void TakeTold(absl::Span<const LimitRecord> records);
+  void MergePublished(absl::Span<const LimitRecord> records);
   // Removes lifted limits and the limits of upstreams that are not listed, once
   // their record is old enough.
-  void Keep(const std::function<bool(const std::string&)>& listed,
-            TimePoint now);
+  void RemoveStaleLimits(const std::function<bool(const std::string&)>& listed,
+                         TimePoint now);
 
   // Returns the upstream's limit in force, or nullptr if it has none.
   const LimitRecord* Find(const std::string& upstream) const;
@@ -56,7 +56,7 @@
   // upstream.
   std::vector<LimitRecord> All() const;
   // Returns the number of limits in force.
-  size_t in_force() const;
+  size_t limits_in_force() const;
   // Returns a hash of the contents of All(); 0 if it is empty.
   int64_t version() const { return version_; }
   // Returns a counter that grows with every change, whatever its source.
@@ -84,7 +84,7 @@
   uint64_t seq_ = 0;
 };
 
-using LimitReports = ChangeReports<LimitBook>;
+using LimitReportTracker = ReportTracker<RateLimitTable>;
 
 }  // namespace medlarwalk
 
--- a/src/policy/limit_turns.cc
+++ b/src/policy/limit_turns.cc
@@ -18,18 +18,18 @@
 
 }  // namespace
 
-std::optional<Millis> OpenTurn(const TurnAsk& ask,
-                               std::optional<Millis> taken) {
-  double per_s = std::max(kMinPerS, ask.per_s);
-  int process_count = std::max(1, ask.process.serving);
+std::optional<Millis> FindOpenSendSlot(const SendSlotQuery& query,
+                                       std::optional<Millis> taken) {
+  double per_s = std::max(kMinPerS, query.per_s);
+  int process_count = std::max(1, query.process.process_count);
   // Slot 0 belongs to a different process for each upstream.
-  auto offset = static_cast<int>(StableHash(ask.upstream) %
+  auto offset = static_cast<int>(StableHash(query.upstream) %
                                  static_cast<uint64_t>(process_count));
-  int index = (ask.process.place + offset) % process_count;
-  Millis after = ask.time - kOpenTime;
+  int index = (query.process.index + offset) % process_count;
+  Millis after = query.time - kOpenTime;
   // After the clock is set back, `taken` may lie far in the future. It is then
   // ignored, as it would otherwise close all slots until the clock catches up.
-  if (taken && *taken - ask.time < kOpenTime) after = std::max(after, *taken);
+  if (taken && *taken - query.time < kOpenTime) after = std::max(after, *taken);
   // Adds half a millisecond because slots begin at whole milliseconds: the
   // slot that begins at `after` must be excluded.
   double slots_before =
@@ -37,11 +37,11 @@
   double cycle = std::floor((slots_before - index) / process_count) + 1;
   double begins_ms = (cycle * process_count + index) / per_s * 1000.0;
   Millis slot_start(static_cast<int64_t>(std::ceil(begins_ms)));
-  if (slot_start > ask.time) return std::nullopt;
+  if (slot_start > query.time) return std::nullopt;
   return slot_start;
 }
 
-bool TurnsHaveBegun(TimePoint since, TimePoint now) {
+bool InitialHoldElapsed(TimePoint since, TimePoint now) {
   return now - since >= kInitialHold;
 }
 
--- a/src/policy/limit_turns.h
+++ b/src/policy/limit_turns.h
@@ -22,16 +22,16 @@
 namespace medlarwalk {
 
 // The index of this process among the processes that share upstreams.
-struct TurnPlace {
-  int serving = 1;  // Number of processes.
-  int place = 0;    // From 0 to serving - 1, unique to this process.
+struct ProcessIndex {
+  int process_count = 1;  // Number of processes.
+  int index = 0;  // From 0 to process_count - 1, unique to this process.
 };
 
 // Identifies the send slots of one upstream that belong to one process.
-struct TurnAsk {
+struct SendSlotQuery {
   absl::string_view upstream;
   double per_s = 1;  // The rate limit of the upstream.
-  TurnPlace process;
+  ProcessIndex process;
   // Now on the clock that all processes share; its epoch does not matter.
   Millis time{};
 };
@@ -39,12 +39,13 @@
 // Returns the start of the earliest open slot that begins after `taken`, the
 // start of the last slot used (nullopt: none yet). Returns nullopt if no slot
 // is open.
-std::optional<Millis> OpenTurn(const TurnAsk& ask, std::optional<Millis> taken);
+std::optional<Millis> FindOpenSendSlot(const SendSlotQuery& query,
+                                       std::optional<Millis> taken);
 
 // Returns whether an upstream that has announced limits since `since` may
 // receive requests yet. All processes exceeded the limit until it was
 // announced, so the upstream first gets time to work off that excess.
-bool TurnsHaveBegun(TimePoint since, TimePoint now);
+bool InitialHoldElapsed(TimePoint since, TimePoint now);
 
 }  // namespace medlarwalk
 
--- a/src/policy/quarantine.cc
+++ b/src/policy/quarantine.cc
@@ -71,7 +71,7 @@
 
 }  // namespace
 
-std::vector<RequestPrint> FindCrashInducingRequests(
+std::vector<RequestFingerprint> FindCrashInducingRequests(
     absl::Span<const CrashRecord> all, const QuarantinePolicy& policy) {
   struct Candidate {
     const CrashRecord* record;
@@ -85,10 +85,10 @@
   }
   std::sort(candidates.begin(), candidates.end(),
             [](const Candidate& a, const Candidate& b) {
-              return std::make_pair(b.uncleared.size(), a.record->asks) <
-                     std::make_pair(a.uncleared.size(), b.record->asks);
+              return std::make_pair(b.uncleared.size(), a.record->fingerprint) <
+                     std::make_pair(a.uncleared.size(), b.record->fingerprint);
             });
-  std::vector<RequestPrint> out;
+  std::vector<RequestFingerprint> out;
   // Upstreams whose crash an earlier request in `out` explains.
   std::set<uint64_t> explained;
   for (const Candidate& candidate : candidates) {
@@ -102,7 +102,7 @@
     std::vector<Crash> crashes_at_start;
     std::copy_if(unexplained.begin(), unexplained.end(),
                  std::back_inserter(crashes_at_start),
-                 [](const Crash& c) { return c.just_begun; });
+                 [](const Crash& c) { return c.just_started; });
     // Another request was in flight at all the same crashes.
     bool inseparable = std::any_of(
         candidates.begin(), candidates.end(), [&](const Candidate& other) {
@@ -116,20 +116,20 @@
         !inseparable &&
         CountSeparateCrashes(crashes_at_start, policy) >= policy.min_crashes;
     if (!cause_is_clear && n < policy.min_crashes_if_ambiguous) continue;
-    out.push_back(candidate.record->asks);
+    out.push_back(candidate.record->fingerprint);
     for (const Crash& c : candidate.uncleared) explained.insert(c.upstream);
   }
   return out;
 }
 
-void Quarantine::NoteCrash(RequestPrint fingerprint, absl::string_view upstream,
-                           Crash crash) {
+void Quarantine::RecordCrash(RequestFingerprint fingerprint,
+                             absl::string_view upstream, Crash crash) {
   crash.upstream = StableHash(upstream);
   CrashRecord r{fingerprint, {crash}};
   MergeRecords(absl::MakeConstSpan(&r, 1), true);
 }
 
-void Quarantine::NoteServed(RequestPrint fingerprint) {
+void Quarantine::RecordServed(RequestFingerprint fingerprint) {
   auto it = entries_.find(fingerprint);
   if (it == entries_.end()) return;
   CrashRecord r = it->second.record;
@@ -137,11 +137,11 @@
   MergeRecords(absl::MakeConstSpan(&r, 1), true);
 }
 
-void Quarantine::TakeReported(absl::Span<const CrashRecord> records) {
+void Quarantine::MergeReported(absl::Span<const CrashRecord> records) {
   MergeRecords(records, true);
 }
 
-void Quarantine::TakeTold(absl::Span<const CrashRecord> records) {
+void Quarantine::MergePublished(absl::Span<const CrashRecord> records) {
   MergeRecords(records, false);
 }
 
@@ -178,8 +178,8 @@
 }
 
 bool Quarantine::MergeRecord(const CrashRecord& r, bool forward) {
-  Entry& e = entries_[r.asks];
-  e.record.asks = r.asks;
+  Entry& e = entries_[r.fingerprint];
+  e.record.fingerprint = r.fingerprint;
   std::vector<Crash>& known_crashes = e.record.crashes;
   bool changed = false;
   for (const Crash& c : r.crashes) {
@@ -214,10 +214,10 @@
 void Quarantine::UpdateQuarantine() {
   SetQuarantined(
       FindCrashInducingRequests(RecordsWithRepeatedCrashes(), policy_));
-  std::vector<CrashRecord> to_publish = Shared();
+  std::vector<CrashRecord> to_publish = RecordsToPublish();
   std::string text;
   for (const CrashRecord& r : to_publish) {
-    absl::StrAppend(&text, r.asks);
+    absl::StrAppend(&text, r.fingerprint);
     for (const Crash& c : r.crashes) {
       absl::StrAppend(&text, " ", c.upstream, c.cleared ? "c" : "");
     }
@@ -229,18 +229,19 @@
           : std::max<int64_t>(1, static_cast<int64_t>(StableHash(text) >> 1));
 }
 
-void Quarantine::SetQuarantined(absl::Span<const RequestPrint> fingerprints) {
-  std::set<RequestPrint> now_quarantined(fingerprints.begin(),
-                                         fingerprints.end());
+void Quarantine::SetQuarantined(
+    absl::Span<const RequestFingerprint> fingerprints) {
+  std::set<RequestFingerprint> now_quarantined(fingerprints.begin(),
+                                               fingerprints.end());
   if (now_quarantined == quarantined_) return;
-  for (RequestPrint p : now_quarantined) {
-    if (Refuses(p)) continue;
-    LogEvent("quarantined", {{"asks", PrintName(p)},
+  for (RequestFingerprint p : now_quarantined) {
+    if (IsQuarantined(p)) continue;
+    LogEvent("quarantined", {{"asks", FingerprintToHex(p)},
                              {"crashes", entries_[p].record.crashes.size()}});
   }
-  for (RequestPrint p : quarantined_) {
+  for (RequestFingerprint p : quarantined_) {
     if (now_quarantined.count(p)) continue;
-    LogEvent("quarantine_ended", {{"asks", PrintName(p)}});
+    LogEvent("quarantine_ended", {{"asks", FingerprintToHex(p)}});
   }
   quarantined_ = std::move(now_quarantined);
   ++quarantine_changes_;
@@ -263,7 +264,8 @@
   if (any_expired) UpdateQuarantine();
 }
 
-Duration Quarantine::RefusedFor(RequestPrint fingerprint, TimePoint now) const {
+Duration Quarantine::RefusedFor(RequestFingerprint fingerprint,
+                                TimePoint now) const {
   auto it = entries_.find(fingerprint);
   if (it == entries_.end()) return Duration::zero();
   return std::max<Duration>(Duration::zero(), LastCrashAt(it->second.record) +
@@ -293,10 +295,10 @@
   return out;
 }
 
-std::vector<CrashRecord> Quarantine::Shared() const {
+std::vector<CrashRecord> Quarantine::RecordsToPublish() const {
   std::vector<CrashRecord> out = RecordsWithRepeatedCrashes();
   auto priority = [this](const CrashRecord& r) {
-    return std::make_pair(Refuses(r.asks), LastCrashAt(r));
+    return std::make_pair(IsQuarantined(r.fingerprint), LastCrashAt(r));
   };
   if (out.size() > policy_.max_published_records) {
     std::sort(out.begin(), out.end(),
@@ -312,7 +314,7 @@
   }
   std::sort(out.begin(), out.end(),
             [](const CrashRecord& a, const CrashRecord& b) {
-              return a.asks < b.asks;
+              return a.fingerprint < b.fingerprint;
             });
   return out;
 }
--- a/src/policy/quarantine.h
+++ b/src/policy/quarantine.h
@@ -34,7 +34,7 @@
   TimePoint sent_at{};    // When the request was sent to the upstream.
   TimePoint at{};         // When the upstream terminated.
   // The request had only just started on the upstream, as far as known.
-  bool just_begun = false;
+  bool just_started = false;
   // The request did not cause this crash: it was served later, or another
   // upstream that did not have the request terminated at the same moment.
   bool cleared = false;
@@ -42,7 +42,7 @@
 
 // The crashes at which one request was in flight.
 struct CrashRecord {
-  RequestPrint asks = 0;  // Fingerprint of the request.
+  RequestFingerprint fingerprint = 0;
   std::vector<Crash> crashes;
 };
 
@@ -76,7 +76,7 @@
 // Returns the requests that explain the crashes in `all`, the request with the
 // most crashes first. Each has at least `policy.min_crashes` crashes that the
 // requests before it in the result do not explain.
-std::vector<RequestPrint> FindCrashInducingRequests(
+std::vector<RequestFingerprint> FindCrashInducingRequests(
     absl::Span<const CrashRecord> all, const QuarantinePolicy& policy);
 
 // Collects crash records and decides which requests are quarantined. Thread
@@ -87,29 +87,29 @@
 
   // Records that `upstream` terminated while it had the request with
   // `fingerprint` in flight. Sets `crash.upstream` from `upstream`.
-  void NoteCrash(RequestPrint fingerprint, absl::string_view upstream,
-                 Crash crash);
+  void RecordCrash(RequestFingerprint fingerprint, absl::string_view upstream,
+                   Crash crash);
   // Records that the request was served, which clears all its crashes so far.
-  void NoteServed(RequestPrint fingerprint);
+  void RecordServed(RequestFingerprint fingerprint);
   // Merges records that other processes report to this one. They are forwarded:
   // ChangedSince returns them.
-  void TakeReported(absl::Span<const CrashRecord> records);
+  void MergeReported(absl::Span<const CrashRecord> records);
   // Merges records published by the process that this one reports to. They are
   // not reported back.
-  void TakeTold(absl::Span<const CrashRecord> records);
+  void MergePublished(absl::Span<const CrashRecord> records);
   // Drops expired records. Call regularly.
   void Tick(TimePoint now);
 
   // Whether the request is quarantined: it must not be sent to any upstream.
-  bool Refuses(RequestPrint fingerprint) const {
+  bool IsQuarantined(RequestFingerprint fingerprint) const {
     return quarantined_.count(fingerprint) > 0;
   }
   // Returns the time from `now` until the request's record expires.
-  Duration RefusedFor(RequestPrint fingerprint, TimePoint now) const;
+  Duration RefusedFor(RequestFingerprint fingerprint, TimePoint now) const;
   // Grows whenever a request enters or leaves the quarantine.
-  uint64_t verdicts() const { return quarantine_changes_; }
+  uint64_t quarantine_changes() const { return quarantine_changes_; }
   // Returns the number of quarantined requests.
-  size_t refused() const { return quarantined_.size(); }
+  size_t quarantined_count() const { return quarantined_.size(); }
 
   // Returns the sequence number of the last change recorded or reported here.
   uint64_t seq() const { return seq_; }
@@ -118,8 +118,8 @@
   std::vector<CrashRecord> ChangedSince(uint64_t seq, size_t max_records) const;
   // Returns the records to publish to all processes: those with more than one
   // crash, sorted by fingerprint.
-  std::vector<CrashRecord> Shared() const;
-  // Returns a hash of the contents of Shared(); 0 if it is empty.
+  std::vector<CrashRecord> RecordsToPublish() const;
+  // Returns a hash of the contents of RecordsToPublish(); 0 if it is empty.
   int64_t version() const { return version_; }
 
  private:
@@ -140,23 +140,23 @@
   void EvictExcessRecords();
   // Recomputes the set of quarantined requests and the published version.
   void UpdateQuarantine();
-  void SetQuarantined(absl::Span<const RequestPrint> fingerprints);
+  void SetQuarantined(absl::Span<const RequestFingerprint> fingerprints);
   // Returns the records with more than one crash.
   std::vector<CrashRecord> RecordsWithRepeatedCrashes() const;
 
   QuarantinePolicy policy_;
-  std::unordered_map<RequestPrint, Entry> entries_;
+  std::unordered_map<RequestFingerprint, Entry> entries_;
   // By upstream hash: when it terminated, as first reported.
   std::map<uint64_t, TimePoint> terminated_at_;
   std::multimap<TimePoint, uint64_t> terminations_;  // Upstream hashes by time.
-  std::set<RequestPrint> quarantined_;
+  std::set<RequestFingerprint> quarantined_;
   uint64_t quarantine_changes_ = 0;
   uint64_t seq_ = 0;
   int64_t version_ = 0;
   TimePoint last_expiry_at_{};  // When expired records were last dropped.
 };
 
-using CrashReports = ChangeReports<Quarantine>;
+using CrashReportTracker = ReportTracker<Quarantine>;
 
 }  // namespace medlarwalk
 
--- a/src/policy/routing_config.cc
+++ b/src/policy/routing_config.cc
@@ -38,7 +38,7 @@
   int next_priority = 0;
   for (Tier route_tier : route_tiers) {
     for (Tier account_tier : account_tiers) {
-      out[RankOf(route_tier, account_tier)] =
+      out[RequestRank(route_tier, account_tier)] =
           std::min(next_priority, kNumEnginePriorities - 1);
       next_priority += one_per_rank;
     }
@@ -85,7 +85,7 @@
   return absl::OkStatus();
 }
 
-void IndexConfig(RoutingConfig* c) {
+void BuildConfigIndexes(RoutingConfig* c) {
   c->engine_priority = EnginePriorities(*c);
   c->account_of_key.clear();
   for (size_t i = 0; i < c->accounts.size(); ++i) {
@@ -122,7 +122,7 @@
   return it == c.account_of_key.end() ? nullptr : &c.accounts[it->second];
 }
 
-Tier RankOf(Tier route_tier, Tier account_tier) {
+Tier RequestRank(Tier route_tier, Tier account_tier) {
   return std::clamp(route_tier, 0, kMaxTier) * kNumAccountTiers +
          ClampAccountTier(account_tier);
 }
--- a/src/policy/routing_config.h
+++ b/src/policy/routing_config.h
@@ -19,7 +19,7 @@
 // Whether the requests of a route may be repeated.
 enum class RequestKind {
   kRepeatable,  // A request may run more than once.
-  kOnce,        // A request runs at most once per caller attempt.
+  kAtMostOnce,  // A request runs at most once per caller attempt.
   kStream,      // Event stream; runs at most once unless resumable.
 };
 
@@ -34,7 +34,7 @@
   std::string name;
   std::string host;
   std::string path_prefix;  // Begins and ends with a slash.
-  RequestKind kind = RequestKind::kOnce;
+  RequestKind kind = RequestKind::kAtMostOnce;
   Duration timeout{};         // Until the final answer.
   Duration latency_target{};  // Streams: until the first event.
   Duration pause_target{};    // Streams: longest gap between events.
@@ -69,7 +69,7 @@
   std::map<std::string, ServiceRule> services;
   std::vector<AccountRule> accounts;
   CallerLimits limits;
-  // Derived by IndexConfig.
+  // Derived by BuildConfigIndexes.
   std::unordered_map<std::string, size_t> account_of_key;
   std::unordered_map<std::string, std::vector<size_t>> routes_of_host;
   std::map<Tier, int> engine_priority;  // Engine priority by request rank.
@@ -81,7 +81,7 @@
 absl::Status ValidateConfig(const RoutingConfig& c);
 
 // Fills the derived lookup tables. Precondition: ValidateConfig(*c) is Ok.
-void IndexConfig(RoutingConfig* c);
+void BuildConfigIndexes(RoutingConfig* c);
 
 // Returns the route of `host` with the longest path prefix that matches `path`,
 // or nullptr. A port in `host` is ignored.
@@ -95,12 +95,12 @@
 // ranked by the tier of their route, then by the tier of their account: batch
 // work of a preferred account must not delay or displace interactive requests
 // of another account.
-Tier RankOf(Tier route_tier, Tier account_tier);
+Tier RequestRank(Tier route_tier, Tier account_tier);
 
 // Returns the priority to send to engines for `rank`, from 0 (highest) to 9, in
 // the order of the ranks that occur in the configuration. If there are more
 // ranks than priorities, the tiers of accounts are ignored. Precondition:
-// IndexConfig has run.
+// BuildConfigIndexes has run.
 int EnginePriority(const RoutingConfig& c, Tier rank);
 
 // Picks a service of the route by weight; `draw` is uniform in [0, 1).
--- a/src/replica.cc
+++ b/src/replica.cc
@@ -94,11 +94,12 @@
 
 std::optional<Member> Replica::Leader() const {
   if (!leader_) return std::nullopt;
-  if (LeaderAge() > options_.election_timeout_min) return std::nullopt;
+  if (TimeSinceLeaderContact() > options_.election_timeout_min)
+    return std::nullopt;
   return leader_;
 }
 
-Duration Replica::LeaderAge() const {
+Duration Replica::TimeSinceLeaderContact() const {
   if (role_ == ReplicaRole::kLeader) {
     if (commit_index_ < term_start_index_) return Duration::max();
     return clock_.Now() - QuorumContactTime();
@@ -107,8 +108,8 @@
   return clock_.Now() - leader_contact_at_;
 }
 
-Duration Replica::StepAge() const {
-  if (role_ == ReplicaRole::kLeader) return LeaderAge();
+Duration Replica::TimeSinceInSync() const {
+  if (role_ == ReplicaRole::kLeader) return TimeSinceLeaderContact();
   if (up_to_date_at_ == TimePoint{}) return Duration::max();
   return clock_.Now() - up_to_date_at_;
 }
@@ -153,7 +154,7 @@
     TickLeader();
     return;
   }
-  bool silent = LeaderAge() > kRejoinAfter;
+  bool silent = TimeSinceLeaderContact() > kRejoinAfter;
   if (!IsVoter(self_.id) || silent) SendJoinRequest();
   if (!IsVoter(self_.id)) return;
   if (now < election_deadline_ || now < disk_backoff_until_) return;
@@ -347,7 +348,7 @@
   ResetElectionTimer();
   if (changed) {
     LogEvent("leader_known", {{"term", term_}, {"leader", leader.address}});
-    if (hooks_.on_change) hooks_.on_change();
+    if (hooks_.on_leader_change) hooks_.on_leader_change();
   }
 }
 
@@ -442,7 +443,7 @@
     state.term = term_;
     state.voted_for = voted_for_;
     state.snapshot = *m.snapshot;
-    absl::Status status = store_.Rewrite(state);
+    absl::Status status = store_.ReplaceState(state);
     if (!status.ok()) {
       disk_backoff_until_ = clock_.Now() + kDiskErrorBackoff;
       LogWarn("store_failed", {{"op", "install"}, {"error", status.message()}});
@@ -458,7 +459,8 @@
     if (snapshot_.version > config_version_) {
       config_version_ = snapshot_.version;
       config_ = snapshot_.config;
-      if (hooks_.on_config) hooks_.on_config(config_version_, config_);
+      if (hooks_.on_config_committed)
+        hooks_.on_config_committed(config_version_, config_);
     }
   }
   reply.ok = true;
@@ -534,7 +536,8 @@
     if (e.kind != EntryKind::kConfig || e.version <= config_version_) continue;
     config_version_ = e.version;
     config_ = e.config;
-    if (hooks_.on_config) hooks_.on_config(config_version_, config_);
+    if (hooks_.on_config_committed)
+      hooks_.on_config_committed(config_version_, config_);
   }
 }
 
@@ -565,7 +568,7 @@
       state.log.push_back(e);
     }
   }
-  absl::Status status = store_.Rewrite(state);
+  absl::Status status = store_.ReplaceState(state);
   if (!status.ok()) {
     LogWarn("store_failed", {{"op", "compact"}, {"error", status.message()}});
     // Do not retry at each entry: the disk may be slow or full.
--- a/src/replica.h
+++ b/src/replica.h
@@ -77,7 +77,7 @@
   // Removes the entry at `index` and all later entries.
   virtual absl::Status TruncateFrom(uint64_t index) = 0;
   // Replaces the whole stored state with `state`.
-  virtual absl::Status Rewrite(const StoredState& state) = 0;
+  virtual absl::Status ReplaceState(const StoredState& state) = 0;
 };
 
 // A message between control processes.
@@ -128,7 +128,7 @@
   Duration drop_silent_after = std::chrono::seconds(6);
   // Number of hosts that may fail at the same time. A silent voter is removed
   // only if 2 x this + 1 voters remain or if a learner replaces it.
-  int tolerate = 1;
+  int tolerated_failures = 1;
   int max_voters = 7;
   // The log is compacted into a snapshot once this many entries or bytes have
   // been applied.
@@ -147,9 +147,10 @@
     // Sends a message without blocking. Messages may be lost.
     std::function<void(const Member& to, const ReplicaMessage&)> send;
     // Called when a newer configuration has been committed and applied.
-    std::function<void(int64_t version, const Document& config)> on_config;
+    std::function<void(int64_t version, const Document& config)>
+        on_config_committed;
     // Called when leadership is gained or lost or the known leader changes.
-    std::function<void()> on_change;
+    std::function<void()> on_leader_change;
   };
 
   // `state` is the content of `store`. `seeds` are addresses of control
@@ -191,11 +192,11 @@
   std::optional<Member> Leader() const;
   // Returns the time since the last message from a leader. On the leader,
   // returns the time since it last had contact with a quorum.
-  Duration LeaderAge() const;
+  Duration TimeSinceLeaderContact() const;
   // Returns the time since this replica last knew that it had applied
   // everything its leader had committed. If it is short, the state may be
   // published to processes that start.
-  Duration StepAge() const;
+  Duration TimeSinceInSync() const;
   int64_t config_version() const { return config_version_; }
   // The newest committed configuration, compressed. Null if there is none.
   const Document& config() const { return config_; }
@@ -316,7 +317,7 @@
   ReplicaRole role_ = ReplicaRole::kFollower;
   std::optional<Member> leader_;
   TimePoint leader_contact_at_{};
-  TimePoint up_to_date_at_{};  // Follower only: see StepAge().
+  TimePoint up_to_date_at_{};  // Follower only: see TimeSinceInSync().
   TimePoint election_deadline_{};
   // Lower bound of the next random election timeout. Grows from
   // first_election_timeout_min to election_timeout_min.
--- a/src/replica_codec.cc
+++ b/src/replica_codec.cc
@@ -63,15 +63,15 @@
 
 json DutyToJson(const DutyRecord& record) {
   return {record.subject, record.number, DocumentToJson(record.content),
-          record.done_through};
+          record.accepted_through};
 }
 
 DutyRecord DutyFromJson(const json& j) {
   DutyRecord record;
   record.subject = j.at(0).get<std::string>();
-  record.number = WholeNumber<int64_t>(j.at(1));
+  record.number = IntegerFromJson<int64_t>(j.at(1));
   record.content = DocumentFromJson(j.at(2));
-  record.done_through = WholeNumber<int64_t>(j.at(3));
+  record.accepted_through = IntegerFromJson<int64_t>(j.at(3));
   return record;
 }
 
@@ -82,8 +82,8 @@
     for (const auto& [number, content] : state.open) {
       open.push_back({number, DocumentToJson(content)});
     }
-    out.push_back(
-        {subject, state.fixed_through, state.done_through, std::move(open)});
+    out.push_back({subject, state.committed_through, state.accepted_through,
+                   std::move(open)});
   }
   return out;
 }
@@ -92,10 +92,10 @@
   DutyLog duties;
   for (const json& item : j) {
     DutyLog::Subject state;
-    state.fixed_through = WholeNumber<int64_t>(item.at(1));
-    state.done_through = WholeNumber<int64_t>(item.at(2));
+    state.committed_through = IntegerFromJson<int64_t>(item.at(1));
+    state.accepted_through = IntegerFromJson<int64_t>(item.at(2));
     for (const json& record : item.at(3)) {
-      state.open[WholeNumber<int64_t>(record.at(0))] =
+      state.open[IntegerFromJson<int64_t>(record.at(0))] =
           DocumentFromJson(record.at(1));
     }
     duties.Restore(item.at(0).get<std::string>(), std::move(state));
@@ -124,15 +124,15 @@
 
 LogEntry EntryFromJson(const json& j) {
   LogEntry e;
-  e.index = WholeNumber<uint64_t>(j.at("i"));
-  e.term = WholeNumber<uint64_t>(j.at("t"));
-  int kind = WholeNumber<int>(j.at("k"));
+  e.index = IntegerFromJson<uint64_t>(j.at("i"));
+  e.term = IntegerFromJson<uint64_t>(j.at("t"));
+  int kind = IntegerFromJson<int>(j.at("k"));
   if (kind < 0 || kind > static_cast<int>(EntryKind::kDuty)) {
     throw json::other_error::create(501, "unknown entry kind", nullptr);
   }
   e.kind = static_cast<EntryKind>(kind);
   if (e.kind == EntryKind::kConfig) {
-    e.version = WholeNumber<int64_t>(j.at("v"));
+    e.version = IntegerFromJson<int64_t>(j.at("v"));
     e.config = DocumentFromJson(j.at("d"));
   }
   if (e.kind == EntryKind::kMembers) e.members = MembersFromJson(j.at("m"));
@@ -152,9 +152,9 @@
 
 Snapshot SnapshotFromJson(const json& j) {
   Snapshot s;
-  s.index = WholeNumber<uint64_t>(j.at("i"));
-  s.term = WholeNumber<uint64_t>(j.at("t"));
-  s.version = WholeNumber<int64_t>(j.at("v"));
+  s.index = IntegerFromJson<uint64_t>(j.at("i"));
+  s.term = IntegerFromJson<uint64_t>(j.at("t"));
+  s.version = IntegerFromJson<int64_t>(j.at("v"));
   if (s.version > 0) s.config = DocumentFromJson(j.at("d"));
   s.members = MembersFromJson(j.at("m"));
   if (j.contains("u")) s.duties = DutiesFromJson(j["u"]);
@@ -206,19 +206,19 @@
   const json& j = *decoded;
   try {
     ReplicaMessage m;
-    int type = WholeNumber<int>(j.at("y"));
+    int type = IntegerFromJson<int>(j.at("y"));
     if (type < 0 || type > static_cast<int>(ReplicaMessage::Type::kJoinReply)) {
       return absl::InvalidArgumentError("unknown message type");
     }
     m.type = static_cast<ReplicaMessage::Type>(type);
     m.from = MemberFromJson(j.at("f"));
-    m.term = WholeNumber<uint64_t>(j.at("t"));
+    m.term = IntegerFromJson<uint64_t>(j.at("t"));
     m.pre_vote = j.at("p").get<bool>();
     m.ok = j.at("o").get<bool>();
-    m.index = WholeNumber<uint64_t>(j.at("i"));
-    m.log_term = WholeNumber<uint64_t>(j.at("l"));
-    m.commit_index = WholeNumber<uint64_t>(j.at("c"));
-    m.round = WholeNumber<uint64_t>(j.at("r"));
+    m.index = IntegerFromJson<uint64_t>(j.at("i"));
+    m.log_term = IntegerFromJson<uint64_t>(j.at("l"));
+    m.commit_index = IntegerFromJson<uint64_t>(j.at("c"));
+    m.round = IntegerFromJson<uint64_t>(j.at("r"));
     if (j.contains("e")) {
       for (const json& e : j["e"]) m.entries.push_back(EntryFromJson(e));
     }
--- a/src/replica_election.cc
+++ b/src/replica_election.cc
@@ -49,7 +49,7 @@
     FailAllWaiters();
     ResetElectionTimer();
     LogEvent("leader_stepped_down", {{"term", term_}, {"why", reason}});
-    if (hooks_.on_change) hooks_.on_change();
+    if (hooks_.on_leader_change) hooks_.on_leader_change();
   }
 }
 
@@ -117,7 +117,7 @@
   term_start_index_ = LastLogIndex() + 1;
   LogEvent("leader_elected", {{"term", term_}, {"index", LastLogIndex()}});
   AppendAsLeader(LogEntry{});
-  if (hooks_.on_change) hooks_.on_change();
+  if (hooks_.on_leader_change) hooks_.on_leader_change();
 }
 
 // Returns whether this replica and the sender of `m` sent concurrent pre-votes
@@ -141,7 +141,7 @@
       (m.log_term == TermAt(LastLogIndex()) && m.index >= LastLogIndex());
   // Grant no vote while there is a working leader: a host that returns from a
   // network partition must not depose it.
-  bool has_leader = LeaderAge() < options_.election_timeout_min;
+  bool has_leader = TimeSinceLeaderContact() < options_.election_timeout_min;
   if (m.pre_vote) {
     reply.ok =
         m.term > term_ && log_up_to_date && !has_leader && !WinsElectionTie(m);
--- a/src/replica_members.cc
+++ b/src/replica_members.cc
@@ -60,7 +60,8 @@
     bool full = static_cast<int>(members_.size()) >= options_.max_voters;
     if (most_silent && members_.size() > 1 &&
         silent_for(*most_silent) > options_.replace_silent_after &&
-        (full || static_cast<int>(members_.size()) > 2 * options_.tolerate)) {
+        (full ||
+         static_cast<int>(members_.size()) > 2 * options_.tolerated_failures)) {
       ProposeMembers(without(most_silent->id));
       return;
     }
@@ -71,7 +72,7 @@
     return;
   }
   if (most_silent &&
-      static_cast<int>(members_.size()) > 2 * options_.tolerate + 1 &&
+      static_cast<int>(members_.size()) > 2 * options_.tolerated_failures + 1 &&
       silent_for(*most_silent) > options_.drop_silent_after) {
     ProposeMembers(without(most_silent->id));
   }
--- a/src/replica_store.cc
+++ b/src/replica_store.cc
@@ -84,7 +84,7 @@
         state.snapshot = SnapshotFromJson(r.at("snap"));
         state.log.clear();
       } else if (kind == "vote") {
-        state.term = WholeNumber<uint64_t>(r.at("t"));
+        state.term = IntegerFromJson<uint64_t>(r.at("t"));
         state.voted_for = r.at("v").get<std::string>();
       } else if (kind == "entry") {
         LogEntry e = EntryFromJson(r.at("e"));
@@ -94,7 +94,7 @@
                         1;
         if (e.index == next) state.log.push_back(std::move(e));
       } else if (kind == "truncate") {
-        RemoveEntriesFrom(state.log, WholeNumber<uint64_t>(r.at("i")));
+        RemoveEntriesFrom(state.log, IntegerFromJson<uint64_t>(r.at("i")));
       }
     }
   } catch (const json::exception& e) {
@@ -172,7 +172,7 @@
   return WriteRecords({json{{"r", "truncate"}, {"i", index}}});
 }
 
-absl::Status FileReplicaStore::Rewrite(const StoredState& state) {
+absl::Status FileReplicaStore::ReplaceState(const StoredState& state) {
   std::string bytes = FrameRecord(StateRecord(state));
   bytes += FrameRecord(VoteRecord(state.term, state.voted_for));
   for (const LogEntry& e : state.log) bytes += FrameRecord(EntryRecord(e));
--- a/src/replica_store.h
+++ b/src/replica_store.h
@@ -26,15 +26,15 @@
   FileReplicaStore& operator=(const FileReplicaStore&) = delete;
 
   // Reads the stored state and opens the file for writing.
-  // Errors: NotFound if the directory holds no state; call Rewrite first then.
-  // DataLoss if a record is malformed. Unavailable for disk errors.
+  // Errors: NotFound if the directory holds no state; call ReplaceState first
+  // then. DataLoss if a record is malformed. Unavailable for disk errors.
   absl::StatusOr<StoredState> Load();
 
   absl::Status SaveTermAndVote(uint64_t term,
                                const std::string& voted_for) override;
   absl::Status AppendEntries(const std::vector<LogEntry>& entries) override;
   absl::Status TruncateFrom(uint64_t index) override;
-  absl::Status Rewrite(const StoredState& state) override;
+  absl::Status ReplaceState(const StoredState& state) override;
 
  private:
   absl::Status WriteRecords(const std::vector<nlohmann::json>& records);
--- a/src/serving.cc
+++ b/src/serving.cc
@@ -42,15 +42,16 @@
       clock_(clock),
       options_(std::move(options)),
       metrics_("entry"),
-      loop_watch_(loop, clock,
-                  [this](Duration d) { metrics_.ObserveTurn(ToSeconds(d)); }),
+      loop_watch_(
+          loop, clock,
+          [this](Duration d) { metrics_.ObserveLoopIteration(ToSeconds(d)); }),
       gateway_(
           loop, clock,
           [&] {
             GatewayOptions o = options_.gateway;
             o.config_trust = kConfigTrust;
             o.group_time = [this](TimePoint now) {
-              return Millis(group_time_.UnixMs(now).value_or(0));
+              return Millis(group_time_.UnixMsAt(now).value_or(0));
             };
             if (options_.usage.window > Duration::zero()) {
               o.on_request_run = [this](const std::string& account) {
@@ -86,7 +87,9 @@
             o.data_centre = options_.data_centre;
             o.serves_callers = true;
             o.reports = &reports_;
-            o.longest_turn = [this] { return loop_watch_.longest(); };
+            o.longest_iteration = [this] {
+              return loop_watch_.longest_iteration();
+            };
             return o;
           }(),
           options_.control_seeds,
@@ -101,9 +104,9 @@
       list_current_at_(clock.Now()) {
   InitTimer(&tick_, OnTick, kTickSeconds, kTickSeconds);
   tick_.data = this;
-  callers_.set_most_connections(CallersFor(options_.descriptors));
+  callers_.set_max_connections(MaxCallerConnections(options_.descriptors));
   // Uses the local wall clock until control publishes the group's time.
-  group_time_.NoteSample(options_.name, wall.UnixNow().count(), clock_.Now());
+  group_time_.RecordSample(options_.name, wall.UnixNow().count(), clock_.Now());
 }
 
 Serving::~Serving() { ev_timer_stop(loop_, &tick_); }
@@ -138,15 +141,15 @@
   // A control process that is not up to date may hold an old configuration. Its
   // configuration is applied only if it is newer than the one in force here,
   // and never as the first one.
-  bool first = watch_.state().config_version == 0;
+  bool first = watch_.next_request().config_version == 0;
   if (r.config && (in_sync || !first)) ApplyConfig(r.config_version, *r.config);
   if (!in_sync) return;
-  gateway_.NoteInStep(clock_.Now() - Millis(r.age_ms));
-  if (r.unix_ms > 0) group_time_.NoteTold(r.unix_ms, clock_.Now());
-  usage_.DropThrough(r.usage_fixed);
-  if (r.serving > 0) {
-    entry_count_ = r.serving;
-    gateway_.SetServing(r.serving, r.place);
+  gateway_.RecordConfigCurrent(clock_.Now() - Millis(r.sync_age_ms));
+  if (r.unix_ms > 0) group_time_.RecordReceivedTime(r.unix_ms, clock_.Now());
+  usage_.DropThrough(r.usage_committed_through);
+  if (r.serving_count > 0) {
+    entry_count_ = r.serving_count;
+    gateway_.SetEntryCount(r.serving_count, r.serving_index);
   }
   if (r.list) ApplyListUpdate(r);
   if (r.list_age_ms < 0) return;
@@ -162,7 +165,7 @@
     LogWarn("bad_crash_records", {{"error", r.status().message()}});
     return;
   }
-  gateway_.quarantine().TakeTold(*r);
+  gateway_.quarantine().MergePublished(*r);
 }
 
 void Serving::MergeLimitRecords(absl::string_view encoded) {
@@ -176,9 +179,10 @@
 }
 
 void Serving::CountAccountRun(const std::string& account) {
-  std::optional<int64_t> unix_ms = group_time_.UnixMs(clock_.Now());
+  std::optional<int64_t> unix_ms = group_time_.UnixMsAt(clock_.Now());
   if (unix_ms) {
-    usage_.Count(process_id_, WindowAt(*unix_ms, options_.usage), account);
+    usage_.CountRequest(process_id_, WindowAt(*unix_ms, options_.usage),
+                        account);
   }
 }
 
@@ -192,7 +196,7 @@
                            r.list->size());
   // Version 0 requests the whole list, after an update that could not be
   // applied.
-  watch_.state().list_version = applied ? list_.version() : 0;
+  watch_.next_request().list_version = applied ? list_.version() : 0;
   if (!applied) {
     LogWarn("list_unfit", {{"held", before},
                            {"from", c.ok() ? c->from : -1},
@@ -209,7 +213,7 @@
 }
 
 void Serving::ApplyConfig(int64_t version, const std::string& document) {
-  if (version <= watch_.state().config_version) return;
+  if (version <= watch_.next_request().config_version) return;
   absl::StatusOr<std::string> text = Unpack(document, kMaxLinkBodyBytes);
   absl::StatusOr<RoutingConfig> c =
       text.ok() ? options_.decode(*text) : text.status();
@@ -218,14 +222,14 @@
             {{"version", version}, {"error", c.status().message()}});
     return;
   }
-  IndexConfig(&*c);
+  BuildConfigIndexes(&*c);
   callers_.set_limits(c->limits);
   LogEvent("config_in_force", {{"version", version},
                                {"routes", c->routes.size()},
                                {"services", c->services.size()},
                                {"accounts", c->accounts.size()}});
   gateway_.SetConfig(std::make_shared<const RoutingConfig>(*std::move(c)));
-  watch_.state().config_version = version;
+  watch_.next_request().config_version = version;
 }
 
 void Serving::ReadListWithoutControl(TimePoint now) {
@@ -237,9 +241,10 @@
   }
   // All entry processes may lose control at once, so each one uses only its
   // share of the calls that the source allows.
-  Duration interval = std::max(
-      kOwnListInterval,
-      ListInterval(lister_.length(), options_.list.calls_per_s / entry_count_));
+  Duration interval =
+      std::max(kOwnListInterval,
+               ListPollInterval(lister_.length(),
+                                options_.list.calls_per_s / entry_count_));
   if (now - own_list_read_at_ < interval) return;
   own_list_read_at_ = now;
   lister_.Read([this, now](absl::StatusOr<std::vector<UpstreamInfo>> r) {
@@ -251,7 +256,7 @@
     LogEvent("list_read_alone",
              {{"version", list_.version()}, {"upstreams", list_.size()}});
     list_current_at_ = now;
-    watch_.state().list_version = list_.version();
+    watch_.next_request().list_version = list_.version();
     gateway_.SetUpstreams(list_.All());
   });
 }
@@ -288,7 +293,7 @@
 void Serving::Tick() {
   TimePoint now = clock_.Now();
   gateway_.Tick();
-  if (reports_.urgent()) watch_.AskAgain();
+  if (reports_.has_urgent()) watch_.RestartWatch();
   ReadListWithoutControl(now);
   if (draining_) AdvanceDrain(now);
 }
--- a/src/serving.h
+++ b/src/serving.h
@@ -84,7 +84,7 @@
   CallerServer metrics_server_;
   const uint64_t process_id_;  // Random id, drawn at each start.
   GroupTime group_time_;
-  UsageBook usage_;
+  UsageTable usage_;
   WatchReports reports_;
   WatchClient watch_;
   Lister lister_;
--- a/src/tcp.cc
+++ b/src/tcp.cc
@@ -147,7 +147,7 @@
   Close();
 }
 
-void TcpConnection::PauseRead(bool paused) {
+void TcpConnection::SetReadPaused(bool paused) {
   if (paused_ == paused) return;
   paused_ = paused;
   UpdateWatchedEvents();
@@ -228,7 +228,7 @@
   if (f) f(std::move(status));
 }
 
-bool TcpConnection::HasUnread() const {
+bool TcpConnection::HasUnreadData() const {
   char c;
   return fd_ >= 0 && recv(fd_, &c, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
 }
@@ -291,7 +291,7 @@
   fd_ = -1;
 }
 
-void Acceptor::Pause(bool paused) {
+void Acceptor::SetPaused(bool paused) {
   paused_ = paused;
   UpdateWatcher();
 }
--- a/src/tcp.h
+++ b/src/tcp.h
@@ -67,14 +67,14 @@
   // mistake it for an orderly end. No callback follows.
   void Reset();
   // Pauses or resumes reading, for backpressure.
-  void PauseRead(bool paused);
+  void SetReadPaused(bool paused);
   bool open() const { return fd_ >= 0; }
   bool connected() const { return connected_; }
   // Returns whether the peer refused the connection: its host is up, but
   // nothing listens on the port.
   bool refused() const { return refused_; }
   // Returns whether received bytes wait in the socket.
-  bool HasUnread() const;
+  bool HasUnreadData() const;
   size_t unsent() const { return out_.size() - sent_; }
 
  private:
@@ -117,7 +117,7 @@
   void Stop();
   // Pauses or resumes accepting. While paused, new connections wait in the
   // listen backlog.
-  void Pause(bool paused);
+  void SetPaused(bool paused);
   // Returns the bound port; 0 when not listening.
   int port() const;
 
@@ -148,7 +148,7 @@
   // Starts to listen, as Acceptor::Listen().
   absl::Status Listen(const Endpoint& at) { return acceptor_.Listen(at); }
   void Stop() { acceptor_.Stop(); }
-  void Pause(bool paused) { acceptor_.Pause(paused); }
+  void SetPaused(bool paused) { acceptor_.SetPaused(paused); }
   int port() const { return acceptor_.port(); }
 
  private:
--- a/src/upstream_link.h
+++ b/src/upstream_link.h
@@ -26,10 +26,10 @@
 
 // How a call ended.
 enum class CallEnd {
-  kWhole,      // The answer is complete.
-  kNotSent,    // No byte of the request left this process.
-  kNoAnswer,   // Sent at least in part; ended before an answer's head.
-  kBrokenOff,  // Ended after the answer's head, before its end.
+  kWhole,        // The answer is complete.
+  kNotSent,      // No byte of the request left this process.
+  kNoAnswer,     // Sent at least in part; ended before an answer's head.
+  kInterrupted,  // Ended after the answer's head, before its end.
 };
 
 // One call. Callbacks run on the loop thread, may run inside Start, and may
@@ -41,7 +41,7 @@
   std::function<bool(const MessageHead&)> on_head;
   std::function<void(absl::string_view)> on_body;
   // Called once, after all other callbacks. `why` is a reason for the log; for
-  // a complete answer it is how the end was detected (EndName).
+  // a complete answer it is how the end was detected (EndDetectionName).
   std::function<void(CallEnd end, absl::string_view why)> on_end;
 };
 
@@ -68,7 +68,7 @@
   // Returns whether any byte of the current call was written.
   virtual bool sent() const = 0;
   // Pauses or resumes reading the answer, for a slow caller.
-  virtual void PauseRead(bool paused) = 0;
+  virtual void SetReadPaused(bool paused) = 0;
   // Returns when the link became idle.
   virtual TimePoint idle_since() const = 0;
   // Returns how long the link may stay idle.
--- a/src/usage_reporter.cc
+++ b/src/usage_reporter.cc
@@ -47,7 +47,7 @@
       options_(std::move(options)),
       replica_(std::move(replica)),
       metrics_(metrics),
-      leadership_(options_.turn),
+      leadership_(options_.leadership),
       deliveries_(options_.policy) {}
 
 UsageReporter::~UsageReporter() {
@@ -59,8 +59,8 @@
   return r && r->role() == ReplicaRole::kLeader ? r : nullptr;
 }
 
-void UsageReporter::TakeReport(const WatchRequest& r) {
-  if (r.unix_ms > 0) group_time_.NoteSample(r.name, r.unix_ms, clock_.Now());
+void UsageReporter::MergeFollowerReport(const WatchRequest& r) {
+  if (r.unix_ms > 0) group_time_.RecordSample(r.name, r.unix_ms, clock_.Now());
   if (!reports_usage() || r.usage.empty()) return;
   absl::StatusOr<std::vector<UsageRecord>> records =
       DecodeUsageRecords(r.usage);
@@ -69,24 +69,24 @@
             {{"from", r.name}, {"error", records.status().message()}});
     return;
   }
-  book_.MergeRecords(*records);
+  usage_table_.MergeRecords(*records);
 }
 
-void UsageReporter::TakeTold(const WatchReply& r) {
-  if (r.unix_ms > 0) group_time_.NoteTold(r.unix_ms, clock_.Now());
-  committed_through_ = std::max(committed_through_, r.usage_fixed);
+void UsageReporter::MergePublished(const WatchReply& r) {
+  if (r.unix_ms > 0) group_time_.RecordReceivedTime(r.unix_ms, clock_.Now());
+  committed_through_ = std::max(committed_through_, r.usage_committed_through);
 }
 
-void UsageReporter::Fill(WatchReply* r) const {
-  r->unix_ms = group_time_.UnixMs(clock_.Now()).value_or(0);
+void UsageReporter::FillReply(WatchReply* r) const {
+  r->unix_ms = group_time_.UnixMsAt(clock_.Now()).value_or(0);
   if (!reports_usage()) return;
-  r->usage_fixed = committed_through_;
+  r->usage_committed_through = committed_through_;
 }
 
 void UsageReporter::SampleOwnClock(TimePoint now) {
   if (now - own_sample_at_ < kOwnSampleInterval) return;
   own_sample_at_ = now;
-  group_time_.NoteSample(options_.name, wall_.UnixNow().count(), now);
+  group_time_.RecordSample(options_.name, wall_.UnixNow().count(), now);
 }
 
 void UsageReporter::Tick() {
@@ -96,9 +96,9 @@
   if (Replica* own_replica = replica_()) {
     committed_through_ = std::max(
         committed_through_,
-        own_replica->duties().FindSubject(kUsageSubject).fixed_through);
+        own_replica->duties().FindSubject(kUsageSubject).committed_through);
   }
-  book_.DropThrough(committed_through_);
+  usage_table_.DropThrough(committed_through_);
   if (call_in_flight_ && now - called_at_ > kCallTimeout) AbortCall(now);
   Replica* r = LeadingReplica();
   leadership_.UpdateLeadership(r != nullptr, r ? r->term() : 0, now);
@@ -112,18 +112,18 @@
 void UsageReporter::CommitDueWindow(TimePoint now) {
   Replica* r = LeadingReplica();
   if (!r || committing_ || !leadership_.HasLedFor(kSettleTime, now)) return;
-  std::optional<int64_t> unix_ms = group_time_.UnixMs(now);
+  std::optional<int64_t> unix_ms = group_time_.UnixMsAt(now);
   if (!unix_ms) return;
   const DutyLog::Subject& subject = r->duties().FindSubject(kUsageSubject);
   std::optional<int64_t> window =
-      WindowToCommit(subject, book_, *unix_ms, options_.policy);
+      WindowToCommit(subject, usage_table_, *unix_ms, options_.policy);
   if (!window) return;
-  UsageCounts counts = book_.SumByAccount(*window);
+  UsageCounts counts = usage_table_.SumByAccount(*window);
   LogEvent(
       "usage_fixing",
       {{"window", *window},
        {"accounts", counts.size()},
-       {"processes", book_.CountProcesses(*window)},
+       {"processes", usage_table_.CountProcesses(*window)},
        {"since_end_ms", SinceEnd(*window, *unix_ms, options_.policy).count()},
        {"term", r->term()},
        {"done_through", deliveries_.AcceptedThrough(subject)}});
@@ -150,7 +150,7 @@
   if (!r || call_in_flight_ || !leadership_.IsHolder(now)) return;
   if (options_.calls_per_s > 0 &&
       now - called_at_ <
-          BoundedSeconds(1 / (options_.calls_per_s * kCallRateShare))) {
+          ClampedSeconds(1 / (options_.calls_per_s * kCallRateShare))) {
     return;
   }
   const DutyLog::Subject& subject = r->duties().FindSubject(kUsageSubject);
@@ -170,7 +170,8 @@
   if (client_ && client_->open()) return client_->established();
   if (now < next_connect_at_) return false;
   next_connect_at_ = now + kReconnectDelay;
-  client_ = Http1Client::Open(loop_, clock_, options_.at, kConnectTimeout);
+  client_ =
+      Http1Client::Open(loop_, clock_, options_.endpoint, kConnectTimeout);
   return false;
 }
 
@@ -228,12 +229,13 @@
   if (!call_in_flight_) return;
   call_in_flight_ = false;
   TimePoint now = clock_.Now();
-  DutyAnswer answer = complete ? options_.read(status_) : DutyAnswer::kFailed;
+  DutyAnswer answer =
+      complete ? options_.interpret_status(status_) : DutyAnswer::kFailed;
   if (answer == DutyAnswer::kAccepted) deliveries_.RecordAccepted(window);
   if (answer == DutyAnswer::kRefused) leadership_.RecordRefusal(token);
   if (answer == DutyAnswer::kFailed) deliveries_.RecordFailed(window, now);
   metrics_.CountDuty("usage_sent", Name(answer));
-  std::optional<int64_t> unix_ms = group_time_.UnixMs(now);
+  std::optional<int64_t> unix_ms = group_time_.UnixMsAt(now);
   LogEvent(
       "usage_sent",
       {{"window", window},
--- a/src/usage_reporter.h
+++ b/src/usage_reporter.h
@@ -37,10 +37,10 @@
 
 // The destination of reports and their format.
 struct UsageOptions {
-  std::string name;     // Of this process's host, as the duty holder.
-  Endpoint at;          // The outside system.
-  UsagePolicy policy;   // With window 0 this process reports no usage.
-  DutyTurnPolicy turn;  // When this process may hold the duty.
+  std::string name;    // Of this process's host, as the duty holder.
+  Endpoint endpoint;   // The outside system.
+  UsagePolicy policy;  // With window 0 this process reports no usage.
+  DutyLeadershipPolicy leadership;  // When this process may hold the duty.
   // Duty calls per second that the outside system accepts from all processes
   // together; 0: no limit.
   double calls_per_s = 0;
@@ -49,7 +49,7 @@
                                 const UsageCounts&, std::string* body)>
       encode;
   // Interprets the HTTP status of an answer.
-  std::function<DutyAnswer(int status)> read;
+  std::function<DutyAnswer(int status)> interpret_status;
 };
 
 // Collects, commits and sends usage reports. Thread safety: loop thread only.
@@ -65,16 +65,16 @@
 
   // Takes over the wall clock time and the counts that a follower reports with
   // its watch.
-  void TakeReport(const WatchRequest& r);
+  void MergeFollowerReport(const WatchRequest& r);
   // Takes over the group's time and the committed window published by the
   // process that this one follows. Precondition: that process is up to date
   // with a leader.
-  void TakeTold(const WatchReply& r);
+  void MergePublished(const WatchReply& r);
   // Sets the group's time and the committed window in `r`, for followers.
-  void Fill(WatchReply* r) const;
+  void FillReply(WatchReply* r) const;
   // Does all due work. Call regularly.
   void Tick();
-  const UsageBook& book() const { return book_; }
+  const UsageTable& usage_table() const { return usage_table_; }
 
  private:
   bool reports_usage() const {
@@ -104,7 +104,7 @@
   std::function<Replica*()> replica_;
   ControlMetrics& metrics_;
   GroupTime group_time_;
-  UsageBook book_;
+  UsageTable usage_table_;
   DutyLeadership leadership_;
   UsageDeliveries deliveries_;
   int64_t committed_through_ = 0;  // Last committed window known here.
--- a/src/watch_client.cc
+++ b/src/watch_client.cc
@@ -63,7 +63,7 @@
   stream_ = 0;
 }
 
-void WatchClient::AskAgain() {
+void WatchClient::RestartWatch() {
   if (!watch_open_ || answer_began_at_ != TimePoint{}) return;
   std::string previous_target = target_;
   TimePoint last_bytes_at = last_bytes_at_;
@@ -120,13 +120,13 @@
 void WatchClient::SwitchTarget(absl::string_view reason) {
   ++consecutive_failures_;
   if (options_.reports) options_.reports->OnTargetLost();
-  LogEvent(
-      "control_lost",
-      {{"control", target_},
-       {"why", reason},
-       {"waited_ms", ToMs(clock_.Now() - last_bytes_at_)},
-       {"turn_ms", options_.longest_turn ? ToMs(options_.longest_turn()) : -1},
-       {"config_version", state_.config_version}});
+  LogEvent("control_lost", {{"control", target_},
+                            {"why", reason},
+                            {"waited_ms", ToMs(clock_.Now() - last_bytes_at_)},
+                            {"turn_ms", options_.longest_iteration
+                                            ? ToMs(options_.longest_iteration())
+                                            : -1},
+                            {"config_version", state_.config_version}});
   std::vector<std::string> candidates = OrderedTargets();
   if (candidates.empty()) return;
   auto it = std::find(candidates.begin(), candidates.end(), target_);
@@ -174,7 +174,8 @@
   if (options_.reports) options_.reports->OnDelivered();
   state_.quarantine_version = r->quarantine_version;
   state_.limits_version = r->limits_version;
-  bool in_sync = r->age_ms >= 0 && r->age_ms <= ToMs(options_.max_age);
+  bool in_sync =
+      r->sync_age_ms >= 0 && r->sync_age_ms <= ToMs(options_.max_age);
   if (in_sync) consecutive_failures_ = 0;
   // An out-of-sync process may still know the other control processes.
   if (!r->control.empty()) {
--- a/src/watch_client.h
+++ b/src/watch_client.h
@@ -25,12 +25,12 @@
   // answer would be as slow from any other control process.
   Duration answer_timeout = Millis(900);
   // The answering process must have been in sync with a leader within this
-  // time; see WatchReply::age_ms.
+  // time; see WatchReply::sync_age_ms.
   Duration max_age = Millis(800);
   std::string data_centre;  // Control processes there are preferred.
   std::string address;      // Where others can watch this process, or "".
   // Returns the longest recent loop iteration, for the log. May be empty.
-  std::function<Duration()> longest_turn;
+  std::function<Duration()> longest_iteration;
   // Records to report to the followed process. May be null.
   WatchReports* reports = nullptr;
 };
@@ -54,11 +54,11 @@
   void SetPaused(bool paused);
   // Replaces the open watch with a new one, which carries the pending reports.
   // Does nothing if no watch is open or its answer has begun to arrive.
-  void AskAgain();
+  void RestartWatch();
   void set_seeds(std::vector<std::string> seeds) { seeds_ = std::move(seeds); }
   // Returns the request that the next watch sends. Callers update the versions
   // that they hold.
-  WatchRequest& state() { return state_; }
+  WatchRequest& next_request() { return state_; }
 
  private:
   static void OnTick(struct ev_loop* loop, ev_timer* w, int revents);
--- a/src/watch_reports.cc
+++ b/src/watch_reports.cc
@@ -6,25 +6,25 @@
 
 void WatchReports::AttachPendingRecords(const std::string& target,
                                         TimePoint now, WatchRequest* r) {
-  std::vector<CrashRecord> crashes = crashes_.For(target);
+  std::vector<CrashRecord> crashes = crashes_.RecordsToReport(target);
   r->crashes = crashes.empty() ? "" : EncodeCrashRecords(crashes, now);
-  std::vector<LimitRecord> limits = limits_.For(target);
+  std::vector<LimitRecord> limits = limits_.RecordsToReport(target);
   r->limits = limits.empty() ? "" : EncodeLimitRecords(limits, now);
-  std::vector<UsageRecord> usage = usage_.For(target, now);
+  std::vector<UsageRecord> usage = usage_.RecordsToReport(target, now);
   r->usage = usage.empty() ? "" : EncodeUsageRecords(usage);
   r->unix_ms = wall_.UnixNow().count();
 }
 
 void WatchReports::OnDelivered() {
-  crashes_.Confirmed();
-  limits_.Confirmed();
-  usage_.Confirmed();
+  crashes_.OnDelivered();
+  limits_.OnDelivered();
+  usage_.OnDelivered();
 }
 
 void WatchReports::OnTargetLost() {
-  crashes_.Lost();
-  limits_.Lost();
-  usage_.Lost();
+  crashes_.OnTargetLost();
+  limits_.OnTargetLost();
+  usage_.OnTargetLost();
 }
 
 }  // namespace medlarwalk
--- a/src/watch_reports.h
+++ b/src/watch_reports.h
@@ -18,8 +18,8 @@
 class WatchReports {
  public:
   // Precondition: all arguments outlive this object.
-  WatchReports(const Quarantine& quarantine, const LimitBook& limits,
-               const UsageBook& usage, const WallClock& wall)
+  WatchReports(const Quarantine& quarantine, const RateLimitTable& limits,
+               const UsageTable& usage, const WallClock& wall)
       : crashes_(quarantine),
         limits_(limits),
         usage_(usage, kUsageInterval),
@@ -35,16 +35,18 @@
   void OnTargetLost();
   // Returns whether there are new crash or limit records. These are reported
   // without delay.
-  bool urgent() const { return crashes_.waiting() || limits_.waiting(); }
+  bool has_urgent() const {
+    return crashes_.has_unreported() || limits_.has_unreported();
+  }
 
  private:
   // Time between usage reports. A killed process loses at most the usage that
   // it counted within this time.
   static constexpr auto kUsageInterval = Millis(300);
 
-  CrashReports crashes_;
-  LimitReports limits_;
-  UsageReports usage_;
+  CrashReportTracker crashes_;
+  LimitReportTracker limits_;
+  UsageReportTracker usage_;
   const WallClock& wall_;
 };
 
--- a/test/answer_end_test.cc
+++ b/test/answer_end_test.cc
@@ -161,7 +161,7 @@
       for (Ending ending : {Ending::kClose, Ending::kReset}) {
         CallResult cut = CallOverHttp1(loop, answer.substr(0, length), ending);
         CHECK_TRUE_TEXT(
-            cut.end == CallEnd::kBrokenOff || cut.end == CallEnd::kNoAnswer,
+            cut.end == CallEnd::kInterrupted || cut.end == CallEnd::kNoAnswer,
             absl::StrCat("cut after ", length, " bytes").c_str());
       }
     }
@@ -224,7 +224,7 @@
   CallResult result =
       CallOverHttp2(loop, kH2AnswerHead + Frame(0, 0, 1, "data: a\n\n") + reset,
                     Ending::kStay);
-  CHECK_TRUE(result.end == CallEnd::kBrokenOff);
+  CHECK_TRUE(result.end == CallEnd::kInterrupted);
 }
 
 // Guards against relaying a stream that the engine cut short as complete. The
@@ -235,7 +235,7 @@
 // connection closes.
 TEST(answer_end, StreamWithAShortFirstPieceIsRecognized) {
   BootClock clock;
-  int base = FreeBase();
+  int base = ClaimPortRange();
   Settings settings = *ParseSettings(DefaultSettingsJson(base));
   const UpstreamSettings* engine = settings.FindUpstream("ledgerhand-1");
   const HostSettings* host = settings.FindHost(engine->agent);
--- a/test/base/errors_test.cc
+++ b/test/base/errors_test.cc
@@ -11,16 +11,16 @@
 TEST(errors, EveryKindRoundTripsThroughItsCode) {
   for (int i = 0; i < kErrorKindCount; ++i) {
     auto kind = static_cast<ErrorKind>(i);
-    CHECK(KindFromCode(AnswerFor(kind).code) == kind);
+    CHECK(KindFromCode(ErrorAnswerFor(kind).code) == kind);
     absl::Status s = MakeError(kind, "m");
-    CHECK(KindOf(s) == kind);
+    CHECK(ErrorKindOf(s) == kind);
   }
 }
 
 // Guards against an answer that asks the caller to retry without Retry-After.
 TEST(errors, RetryLaterAnswersCarryRetryAfter) {
   for (int i = 0; i < kErrorKindCount; ++i) {
-    const Answer& a = AnswerFor(static_cast<ErrorKind>(i));
+    const ErrorAnswer& a = ErrorAnswerFor(static_cast<ErrorKind>(i));
     if (a.http_status == 503 || a.http_status == 429) CHECK(a.retry_after);
   }
 }
--- a/test/command_line_test.cc
+++ b/test/command_line_test.cc
@@ -29,7 +29,7 @@
 // The fault was to ignore the argument and check --settings or the built-in
 // default.
 TEST(command_line, CheckSettingsReadsTheGivenFile) {
-  std::string dir = TempDir();
+  std::string dir = MakeTempDir();
   std::ofstream(dir + "/good.json") << DefaultSettingsJson(7000);
   std::ofstream(dir + "/bad.json") << "{\"version\": 1";
   LONGS_EQUAL(0, RunBinary("check-settings " + dir + "/good.json"));
--- a/test/control_test.cc
+++ b/test/control_test.cc
@@ -27,8 +27,8 @@
  public:
   Controls(int with_disk, int relays)
       : loop_(ev_loop_new(EVFLAG_AUTO)),
-        dir_(TempDir()),
-        base_(FreeBase()),
+        dir_(MakeTempDir()),
+        base_(ClaimPortRange()),
         with_disk_(with_disk),
         processes_(static_cast<size_t>(with_disk + relays)) {}
   ~Controls() {
@@ -51,7 +51,7 @@
     o.seeds = std::move(seeds);
     o.bootstrap = bootstrap;
     if (i < with_disk_) o.data_dir = DataDir(i);
-    o.list.at = Endpoint{"127.0.0.1", 1};  // No process listens there.
+    o.list.endpoint = Endpoint{"127.0.0.1", 1};  // No process listens there.
     o.list.encode = [](absl::string_view) {
       return OutgoingRequest{"GET", "/", {}, ""};
     };
@@ -83,7 +83,7 @@
     TimePoint until = clock_.Now() + Millis(ms);
     while (clock_.Now() < until) {
       auto answer = std::make_shared<std::optional<absl::Status>>();
-      processes_[static_cast<size_t>(i)]->Submit(
+      processes_[static_cast<size_t>(i)]->SubmitConfig(
           document, [answer](absl::Status s) { *answer = s; });
       Await([&] { return answer->has_value(); }, 1500);
       result = answer->value_or(absl::UnavailableError("silent"));
@@ -94,7 +94,7 @@
   std::string Read(int i) {
     auto answer =
         std::make_shared<std::optional<absl::StatusOr<std::string>>>();
-    processes_[static_cast<size_t>(i)]->Read(
+    processes_[static_cast<size_t>(i)]->ReadConfig(
         [answer](absl::StatusOr<std::string> r) { *answer = std::move(r); });
     Await([&] { return answer->has_value(); }, 3000);
     return answer->has_value() && (*answer)->ok() ? ***answer : "";
@@ -223,7 +223,7 @@
       [&] {
         std::set<int> indexes;
         for (const auto& [n, r] : replies) {
-          if (r.serving == kServing) indexes.insert(r.place);
+          if (r.serving_count == kServing) indexes.insert(r.serving_index);
         }
         return indexes.size() == kServing && *indexes.begin() == 0 &&
                *indexes.rbegin() == kServing - 1;
--- a/test/descriptors_test.cc
+++ b/test/descriptors_test.cc
@@ -33,11 +33,11 @@
 // unanswered.
 struct CallerSink {
   CallerSink(struct ev_loop* loop, const Clock& clock, size_t max_connections)
-      : endpoint{"127.0.0.1", FreeBase()},
+      : endpoint{"127.0.0.1", ClaimPortRange()},
         server(loop, clock, [this](std::shared_ptr<CallerExchange> ex) {
           requests.push_back(std::move(ex));
         }) {
-    server.set_most_connections(max_connections);
+    server.set_max_connections(max_connections);
     CHECK_TRUE(server.Listen(endpoint).ok());
   }
   Endpoint endpoint;
@@ -73,7 +73,7 @@
 // is lost, and no socket can be opened for a new one. The call must fail as not
 // sent, and the link must reconnect later.
 TEST(descriptors, LinkWithoutASocketFailsItsCalls) {
-  int port = FreeBase();
+  int port = ClaimPortRange();
   int answered = 0;
   H2Server server(loop, [&](const H2Request&, std::shared_ptr<H2Stream> s) {
     ++answered;
@@ -111,7 +111,7 @@
 // The listening socket stays readable, and a spinning loop takes CPU time from
 // the requests that would free descriptors.
 TEST(descriptors, ListenerWithoutDescriptorsDoesNotSpin) {
-  int port = FreeBase();
+  int port = ClaimPortRange();
   int accepted = 0;
   TcpListener listener(loop,
                        [&](std::shared_ptr<TcpConnection>) { ++accepted; });
--- a/test/duty/duty_test.cc
+++ b/test/duty/duty_test.cc
@@ -43,14 +43,14 @@
   CHECK_FALSE(log.Apply({"usage", 7, Content("b"), 0}));
   CHECK_FALSE(log.Apply({"usage", 6, Content("c"), 0}));
   const DutyLog::Subject& s = log.FindSubject("usage");
-  LONGS_EQUAL(7, s.fixed_through);
+  LONGS_EQUAL(7, s.committed_through);
   LONGS_EQUAL(1, static_cast<long>(s.open.size()));
   STRCMP_EQUAL("a", s.open.at(7)->c_str());
   // Accepted contents are removed, and other subjects are not affected.
   log.Apply({"scale", 1, Content("x"), 0});
   log.Apply({"usage", 8, Content("d"), 7});
   LONGS_EQUAL(1, static_cast<long>(log.FindSubject("usage").open.size()));
-  LONGS_EQUAL(1, log.FindSubject("scale").fixed_through);
+  LONGS_EQUAL(1, log.FindSubject("scale").committed_through);
 }
 
 // Guards against memory growth while the platform is unreachable for hours.
@@ -64,7 +64,7 @@
 // Guards against calls in the order A, B, A within a lease: A leads, B takes
 // over and A leads again, all within a second.
 TEST(duty, NewLeaderWaitsForPreviousHolderToStop) {
-  DutyTurnPolicy p;
+  DutyLeadershipPolicy p;
   p.lease = 3 * kSecond;
   DutyLeadership leadership(p);
   TimePoint now{};
@@ -87,7 +87,7 @@
 // Guards against a call by a process that was frozen after it requested a
 // confirmation of its leadership, and resumes with the outdated confirmation.
 TEST(duty, IgnoresOutdatedConfirmation) {
-  DutyTurnPolicy p;
+  DutyLeadershipPolicy p;
   p.lease = kSecond;
   DutyLeadership leadership(p);
   TimePoint now{};
@@ -103,7 +103,7 @@
 }
 
 TEST(duty, DoesNotReuseRefusedToken) {
-  DutyTurnPolicy p;
+  DutyLeadershipPolicy p;
   DutyLeadership leadership(p);
   TimePoint now{};
   now += kSecond;
@@ -128,18 +128,18 @@
   const int64_t kUnix = 1'000'000'000;
   auto record_samples = [&](int64_t jump) {
     for (int host = 0; host < 7; ++host) {
-      t.NoteSample(
+      t.RecordSample(
           std::to_string(host),
           kUnix + ToMs(now.time_since_epoch()) + host + (host < 3 ? jump : 0),
           now);
     }
   };
   record_samples(0);
-  int64_t before = *t.UnixMs(now) - ToMs(now.time_since_epoch());
+  int64_t before = *t.UnixMsAt(now) - ToMs(now.time_since_epoch());
   for (int64_t jump : {2000, -2000, 0}) {
     now += kSecond;
     record_samples(jump);
-    int64_t after = *t.UnixMs(now) - ToMs(now.time_since_epoch());
+    int64_t after = *t.UnixMsAt(now) - ToMs(now.time_since_epoch());
     CHECK_TRUE(std::abs(after - before) <= 3);
   }
 }
@@ -150,16 +150,16 @@
   GroupTime t;
   TimePoint now{};
   now += 100 * kSecond;
-  t.NoteSample("self", 5, now);
+  t.RecordSample("self", 5, now);
   const int64_t kUnix = 1'000'000'000;
   auto true_ms = [&] { return kUnix + ToMs(now.time_since_epoch()); };
-  t.NoteTold(true_ms() - 1, now);
+  t.RecordReceivedTime(true_ms() - 1, now);
   now += kSecond;
-  t.NoteTold(true_ms() - 600, now);
-  LONGS_EQUAL(true_ms() - 1, *t.UnixMs(now));
+  t.RecordReceivedTime(true_ms() - 600, now);
+  LONGS_EQUAL(true_ms() - 1, *t.UnixMsAt(now));
   // Without updates from control the received time keeps advancing.
   now += 60 * kSecond;
-  LONGS_EQUAL(true_ms() - 1, *t.UnixMs(now));
+  LONGS_EQUAL(true_ms() - 1, *t.UnixMsAt(now));
 }
 
 // A new leader keeps the time that it received as a follower, until it has the
@@ -170,34 +170,34 @@
   now += 100 * kSecond;
   const int64_t kUnix = 1'000'000'000;
   auto true_ms = [&] { return kUnix + ToMs(now.time_since_epoch()); };
-  t.NoteTold(true_ms(), now);
-  t.NoteSample("self", true_ms() + 2000, now);
-  LONGS_EQUAL(true_ms(), *t.UnixMs(now));
+  t.RecordReceivedTime(true_ms(), now);
+  t.RecordSample("self", true_ms() + 2000, now);
+  LONGS_EQUAL(true_ms(), *t.UnixMsAt(now));
   now += 3 * kSecond;
-  t.NoteSample("self", true_ms() + 2000, now);
-  t.NoteSample("a", true_ms(), now);
-  t.NoteSample("b", true_ms(), now);
-  LONGS_EQUAL(true_ms(), *t.UnixMs(now));
+  t.RecordSample("self", true_ms() + 2000, now);
+  t.RecordSample("a", true_ms(), now);
+  t.RecordSample("b", true_ms(), now);
+  LONGS_EQUAL(true_ms(), *t.UnixMsAt(now));
 }
 
 // Guards against requests counted twice when their counts are reported twice,
 // or through two processes after the first one failed.
 TEST(duty, MergesCountsByMaximum) {
-  UsageBook entry;
-  for (int i = 0; i < 3; ++i) entry.Count(1, 10, "a");
-  entry.Count(1, 11, "a");
-  UsageBook left;
-  UsageBook right;
-  UsageBook leader;
-  UsageReports reports(entry, Duration::zero());
+  UsageTable entry;
+  for (int i = 0; i < 3; ++i) entry.CountRequest(1, 10, "a");
+  entry.CountRequest(1, 11, "a");
+  UsageTable left;
+  UsageTable right;
+  UsageTable leader;
+  UsageReportTracker reports(entry, Duration::zero());
   TimePoint now{};
-  left.MergeRecords(reports.For("left", now));
-  entry.Count(1, 10, "a");
+  left.MergeRecords(reports.RecordsToReport("left", now));
+  entry.CountRequest(1, 10, "a");
   // The left process fails before it answers: the right one gets all records.
-  reports.Lost();
-  right.MergeRecords(reports.For("right", now));
-  reports.Confirmed();
-  CHECK_TRUE(reports.For("right", now).empty());
+  reports.OnTargetLost();
+  right.MergeRecords(reports.RecordsToReport("right", now));
+  reports.OnDelivered();
+  CHECK_TRUE(reports.RecordsToReport("right", now).empty());
   uint64_t through = 0;
   leader.MergeRecords(right.ChangedSince(0, 100, &through));
   leader.MergeRecords(left.ChangedSince(0, 100, &through));
@@ -212,32 +212,32 @@
 // Guards against counts that grow after their window was committed, and against
 // memory that grows with the number of requests.
 TEST(duty, DropsCommittedWindows) {
-  UsageBook book(4);
-  for (int i = 0; i < 1000; ++i) book.Count(1, 10, "a");
-  LONGS_EQUAL(1, static_cast<long>(book.size()));
-  book.DropThrough(10);
-  book.Count(1, 10, "a");
-  LONGS_EQUAL(0, static_cast<long>(book.size()));
-  for (int64_t w = 11; w < 30; ++w) book.Count(1, w, "a");
-  LONGS_EQUAL(4, static_cast<long>(book.size()));
+  UsageTable table(4);
+  for (int i = 0; i < 1000; ++i) table.CountRequest(1, 10, "a");
+  LONGS_EQUAL(1, static_cast<long>(table.size()));
+  table.DropThrough(10);
+  table.CountRequest(1, 10, "a");
+  LONGS_EQUAL(0, static_cast<long>(table.size()));
+  for (int64_t w = 11; w < 30; ++w) table.CountRequest(1, w, "a");
+  LONGS_EQUAL(4, static_cast<long>(table.size()));
   uint64_t through = 0;
-  LONGS_EQUAL(4, static_cast<long>(book.ChangedSince(0, 9, &through).size()));
+  LONGS_EQUAL(4, static_cast<long>(table.ChangedSince(0, 9, &through).size()));
 }
 
 // All records are reported, in parts of limited size and no more often than the
 // interval.
 TEST(duty, ReportsCountsInParts) {
-  UsageBook entry;
-  UsageBook control;
-  for (int a = 0; a < 5000; ++a) entry.Count(1, 10, std::to_string(a));
-  UsageReports reports(entry, Millis(800));
+  UsageTable entry;
+  UsageTable control;
+  for (int a = 0; a < 5000; ++a) entry.CountRequest(1, 10, std::to_string(a));
+  UsageReportTracker reports(entry, Millis(800));
   TimePoint now{};
   now += kSecond;
   for (int i = 0; i < 10; ++i) {
-    control.MergeRecords(reports.For("c", now));
-    reports.Confirmed();
-    CHECK_TRUE(reports.For("c", now + Millis(100)).empty());
-    reports.Confirmed();
+    control.MergeRecords(reports.RecordsToReport("c", now));
+    reports.OnDelivered();
+    CHECK_TRUE(reports.RecordsToReport("c", now + Millis(100)).empty());
+    reports.OnDelivered();
     now += kSecond;
   }
   LONGS_EQUAL(5000, static_cast<long>(control.SumByAccount(10).size()));
@@ -248,16 +248,16 @@
 TEST(duty, CommitsWindowsWithoutGaps) {
   UsagePolicy p = FiveSecondWindows();
   DutyLog::Subject s;
-  UsageBook book;
-  CHECK_FALSE(WindowToCommit(s, book, 1'000'000, p).has_value());
-  book.Count(1, 200, "a");
-  CHECK_FALSE(WindowToCommit(s, book, 1'007'499, p).has_value());
-  LONGS_EQUAL(200, *WindowToCommit(s, book, 1'007'500, p));
-  s.fixed_through = 200;
-  CHECK_FALSE(WindowToCommit(s, book, 1'007'500, p).has_value());
-  LONGS_EQUAL(201, *WindowToCommit(s, book, 1'099'000, p));
+  UsageTable table;
+  CHECK_FALSE(WindowToCommit(s, table, 1'000'000, p).has_value());
+  table.CountRequest(1, 200, "a");
+  CHECK_FALSE(WindowToCommit(s, table, 1'007'499, p).has_value());
+  LONGS_EQUAL(200, *WindowToCommit(s, table, 1'007'500, p));
+  s.committed_through = 200;
+  CHECK_FALSE(WindowToCommit(s, table, 1'007'500, p).has_value());
+  LONGS_EQUAL(201, *WindowToCommit(s, table, 1'099'000, p));
   LONGS_EQUAL(400 - p.max_windows_behind,
-              *WindowToCommit(s, book, 2'000'000, p));
+              *WindowToCommit(s, table, 2'000'000, p));
 }
 
 // An unanswered report is sent again with growing delays, and does not delay
@@ -328,7 +328,7 @@
                     FiveSecondWindows());
   }
 
-  Group group;
+  ReplicaGroup group;
   UsageJudge judge;
   bool no_faults = false;  // The platform answers every call at once.
 
@@ -343,8 +343,8 @@
     o.compact_entries = 6;
     return o;
   }
-  static DutyTurnPolicy LeadershipPolicy() {
-    DutyTurnPolicy p;
+  static DutyLeadershipPolicy LeadershipPolicy() {
+    DutyLeadershipPolicy p;
     p.lease = 3 * kSecond;
     return p;
   }
@@ -356,8 +356,8 @@
     h.leadership.UpdateLeadership(leads, r->term(), now);
     if (!leads) return;
     const DutyLog::Subject& s = r->duties().FindSubject(kUsageSubject);
-    UsageBook usage;
-    usage.Count(1, first_window_, "a");
+    UsageTable usage;
+    usage.CountRequest(1, first_window_, "a");
     std::optional<int64_t> due = WindowToCommit(
         s, usage, ToMs(now.time_since_epoch()), FiveSecondWindows());
     if (due) {
--- a/test/h2_test.cc
+++ b/test/h2_test.cc
@@ -8,7 +8,7 @@
 #include "procs.h"
 
 using namespace medlarwalk;
-using testing::DarkAddress;
+using testing::UnresponsiveAddress;
 
 namespace {
 
@@ -42,7 +42,7 @@
   struct ev_loop* loop = ev_loop_new(EVFLAG_AUTO);
   {
     BootClock clock;
-    int port = testing::FreeBase();
+    int port = testing::ClaimPortRange();
     std::shared_ptr<H2Stream> held_by_old;
     std::shared_ptr<H2Stream> held_by_new;
     H2Server old_server(
@@ -84,7 +84,7 @@
   ClientAndServerLoops()
       : client_loop(ev_loop_new(EVFLAG_AUTO)),
         server_loop(ev_loop_new(EVFLAG_AUTO)),
-        port(testing::FreeBase()) {}
+        port(testing::ClaimPortRange()) {}
   ~ClientAndServerLoops() {
     ev_loop_destroy(client_loop);
     ev_loop_destroy(server_loop);
@@ -164,10 +164,11 @@
 // from the start of the iteration: it expires before the loop polls the socket.
 TEST(h2, TimeoutCountsFromWhenItIsSet) {
   ClientAndServerLoops loops;
-  DarkAddress dark;
+  UnresponsiveAddress unresponsive;
   ev_run(loops.client_loop, EVRUN_NOWAIT);
   usleep(500'000);
-  auto c = TcpConnection::Connect(loops.client_loop, dark.at, kPingTimeout);
+  auto c = TcpConnection::Connect(loops.client_loop, unresponsive.endpoint,
+                                  kPingTimeout);
   bool failed = false;
   TcpEvents e;
   e.on_closed = [&](absl::Status) { failed = true; };
@@ -184,9 +185,9 @@
 TEST(h2, ConnectTimeoutGrowsWithEachAttempt) {
   ClientAndServerLoops loops;
   BootClock clock;
-  DarkAddress dark;
-  H2Client client(loops.client_loop, clock, "127.0.0.1", dark.at.port,
-                  Millis(300), Millis(900));
+  UnresponsiveAddress unresponsive;
+  H2Client client(loops.client_loop, clock, "127.0.0.1",
+                  unresponsive.endpoint.port, Millis(300), Millis(900));
   std::string body;
   bool closed = false;
   client.Submit(GetRequest("/a", &body, &closed));
--- a/test/large_config_test.cc
+++ b/test/large_config_test.cc
@@ -48,8 +48,8 @@
 }
 
 // Returns a group that has elected a leader and run for another 500 ms.
-std::unique_ptr<Group> GroupWithLeader(int members) {
-  auto g = std::make_unique<Group>(members, 1);
+std::unique_ptr<ReplicaGroup> GroupWithLeader(int members) {
+  auto g = std::make_unique<ReplicaGroup>(members, 1);
   CHECK_TRUE(g->AwaitLeader(kElectionTimeout) >= 0);
   g->Run(Millis(500));
   return g;
@@ -62,11 +62,11 @@
   SingleControl() : loop_(ev_loop_new(EVFLAG_AUTO)) {
     ControlOptions o;
     o.name = "control";
-    o.peer = Endpoint{"127.0.0.1", FreeBase()};
+    o.peer = Endpoint{"127.0.0.1", ClaimPortRange()};
     o.seeds = {o.peer.ToString()};
     o.bootstrap = true;
-    o.data_dir = TempDir();
-    o.list.at = Endpoint{"127.0.0.1", 1};  // No process listens there.
+    o.data_dir = MakeTempDir();
+    o.list.endpoint = Endpoint{"127.0.0.1", 1};  // No process listens there.
     o.list.encode = [](absl::string_view) {
       return OutgoingRequest{"GET", "/", {}, ""};
     };
@@ -83,7 +83,7 @@
   }
   void Submit(std::string document) {
     bool done = false;
-    control_->Submit(std::move(document), [&](absl::Status s) {
+    control_->SubmitConfig(std::move(document), [&](absl::Status s) {
       CHECK_TRUE(s.ok());
       done = true;
     });
@@ -199,7 +199,7 @@
 TEST(large_config, LostEntriesAreSentAgain) {
   auto g = GroupWithLeader(3);
   int l = g->Leader();
-  for (int i = 0; i < 3; ++i) g->Cut(l, i, true);
+  for (int i = 0; i < 3; ++i) g->SetLinkCut(l, i, true);
   std::optional<bool> done;
   g->node(l)->Propose(7, MakeDocument(7),
                       [&](absl::Status s) { done = s.ok(); });
@@ -274,7 +274,7 @@
 TEST(large_config, WatchWaitsForASlowDocument) {
   struct ev_loop* loop = ev_loop_new(EVFLAG_AUTO);
   BootClock clock;
-  int base = FreeBase();
+  int base = ClaimPortRange();
   int watches_received = 0;
   std::shared_ptr<H2Stream> answer;
   H2Server server(loop, [&](const H2Request&, std::shared_ptr<H2Stream> s) {
@@ -332,7 +332,7 @@
 TEST(large_config, PeerThatStillSendsIsNotSilent) {
   struct ev_loop* loop = ev_loop_new(EVFLAG_AUTO);
   BootClock clock;
-  int base = FreeBase();
+  int base = ClaimPortRange();
   std::shared_ptr<TcpConnection> peer;
   TcpListener listener(loop, [&](std::shared_ptr<TcpConnection> c) {
     peer = std::move(c);
