--- a/test/lister_test.cc
+++ b/test/lister_test.cc
@@ -39,7 +39,7 @@
 
   ListSource MakeListSource() {
     ListSource s;
-    s.at = Endpoint{"127.0.0.1", server_->port()};
+    s.endpoint = Endpoint{"127.0.0.1", server_->port()};
     s.encode = [](absl::string_view token) {
       return OutgoingRequest{
           "GET", absl::StrCat("/", token.empty() ? "0" : token), {}, ""};
@@ -50,7 +50,7 @@
       ListPage p;
       p.upstreams.emplace_back();
       p.upstreams[0].id = absl::StrCat("u-", page);
-      if (page + 1 < pages_) p.next = absl::StrCat(page + 1);
+      if (page + 1 < pages_) p.next_token = absl::StrCat(page + 1);
       return p;
     };
     return s;
@@ -115,10 +115,10 @@
 // The source's rate limit takes precedence over both.
 TEST(lister, IntervalDependsOnListSizeAndRateLimit) {
   for (size_t n = 0; n <= 1200; n += 100) {
-    CHECK_TRUE(ListInterval({n, 4}, 0) == Millis(600));
+    CHECK_TRUE(ListPollInterval({n, 4}, 0) == Millis(600));
   }
-  CHECK_TRUE(ListInterval({2000, 40}, 0) == Millis(1000));
-  CHECK_TRUE(ListInterval({30000, 600}, 0) == Millis(1500));
-  CHECK_TRUE(ListInterval({3000, 60}, 40) == std::chrono::seconds(3));
-  CHECK_TRUE(ListInterval({16, 1}, 40) == Millis(600));
+  CHECK_TRUE(ListPollInterval({2000, 40}, 0) == Millis(1000));
+  CHECK_TRUE(ListPollInterval({30000, 600}, 0) == Millis(1500));
+  CHECK_TRUE(ListPollInterval({3000, 60}, 40) == std::chrono::seconds(3));
+  CHECK_TRUE(ListPollInterval({16, 1}, 40) == Millis(600));
 }
--- a/test/path_test.cc
+++ b/test/path_test.cc
@@ -28,7 +28,7 @@
 // edited by the test, and stopped by their process ids at its end.
 struct Fleet {
   explicit Fleet(const std::function<void(json&)>& edit_settings = nullptr)
-      : base_port(FreeBase()), dir(TempDir()) {
+      : base_port(ClaimPortRange()), dir(MakeTempDir()) {
     json s = json::parse(DefaultSettingsJson(base_port));
     s["entry"]["ping_interval_ms"] = 200;
     s["entry"]["ping_timeout_ms"] = 600;
@@ -39,14 +39,14 @@
   }
   ~Fleet() {
     for (auto it = pids.rbegin(); it != pids.rend(); ++it) {
-      Stop(it->second, SIGCONT);
-      Stop(it->second, SIGKILL, 2000);
+      SignalAndWait(it->second, SIGCONT);
+      SignalAndWait(it->second, SIGKILL, 2000);
     }
   }
   void StartProcess(const std::string& name, std::vector<std::string> args) {
     args.push_back("--settings=" + settings_path);
     args.push_back("--log_level=info");
-    pids[name] = Spawn(args, dir + "/" + name + ".log");
+    pids[name] = SpawnMedlarwalk(args, dir + "/" + name + ".log");
   }
   void StartEngine(int i, int step_ms = 10) {
     StartProcess(absl::StrCat("engine-", i),
@@ -78,7 +78,7 @@
   // Waits up to `ms` for process `name` to exit by itself. Returns true when it
   // did.
   bool WaitForOwnExit(const std::string& name, int ms) {
-    bool exited = Stop(pids[name], 0, ms);
+    bool exited = SignalAndWait(pids[name], 0, ms);
     if (exited) pids.erase(name);
     return exited;
   }
@@ -175,7 +175,7 @@
         if (stats.is_object() && stats.value("requests", 0) > 0) break;
         std::this_thread::sleep_for(std::chrono::milliseconds(5));
       }
-      Stop(f.pids["engine-1"], SIGKILL, 2000);
+      SignalAndWait(f.pids["engine-1"], SIGKILL, 2000);
     });
     HttpReply r = Post(f.EntryUrl() + "/v1/chat/completions",
                        crash_inducing_body, kGateReleaseHeaders);
@@ -220,7 +220,7 @@
   c.first_token_target = Millis(100000);
   c.between_tokens_target = Millis(100000);
   w.classes = {c};
-  LoadReport r = RunLoad(w);
+  LoadTestReport r = RunLoadTest(w);
   CHECK(r.classes[0].sent > 50);
   CHECK_EQUAL(r.classes[0].sent, r.classes[0].complete);
   CHECK_EQUAL(0, r.classes[0].misdelivered);
@@ -237,7 +237,7 @@
   f.StartAgent(1);
   f.StartEntry();
   std::thread killer =
-      RunAfterDelay(600, [&] { Stop(f.pids["engine-1"], SIGKILL); });
+      RunAfterDelay(600, [&] { SignalAndWait(f.pids["engine-1"], SIGKILL); });
   HttpReply r = Post(f.EntryUrl() + "/v1/chat/completions",
                      ChatBody("cut-me", 60), kGateReleaseHeaders);
   killer.join();
@@ -263,7 +263,7 @@
   CHECK_FALSE(down.headers["retry-after"].empty());
   f.StartService(800);
   std::thread killer =
-      RunAfterDelay(300, [&] { Stop(f.pids["agent-4"], SIGKILL); });
+      RunAfterDelay(300, [&] { SignalAndWait(f.pids["agent-4"], SIGKILL); });
   HttpReply lost = Post(f.EntryUrl() + "/v1/services/scalehouse-1/bill",
                         R"({"ticket":"T-2"})", BillingHeaders("k-lost"));
   killer.join();
@@ -284,7 +284,7 @@
   CHECK_EQUAL(200, warm.status);
   int before = CountExecutions(f);
   std::thread service_killer =
-      RunAfterDelay(300, [&] { Stop(f.pids["service"], SIGKILL); });
+      RunAfterDelay(300, [&] { SignalAndWait(f.pids["service"], SIGKILL); });
   HttpReply cut = Post(f.EntryUrl() + "/v1/services/scalehouse-1/bill",
                        R"({"ticket":"T-3"})", BillingHeaders("k-cut"));
   service_killer.join();
@@ -309,7 +309,7 @@
   CHECK_EQUAL(200, again.status);
   STRCMP_EQUAL(first.body.c_str(), again.body.c_str());
   std::thread killer =
-      RunAfterDelay(200, [&] { Stop(f.pids["agent-4"], SIGKILL); });
+      RunAfterDelay(200, [&] { SignalAndWait(f.pids["agent-4"], SIGKILL); });
   Post(url, R"({"ticket":"B"})", BillingHeaders("adj-B"));
   killer.join();
   f.StartAgent(4);
--- a/test/policy/limit_policy_test.cc
+++ b/test/policy/limit_policy_test.cc
@@ -26,10 +26,10 @@
   for (int ms = 0; ms < seconds * 1000; ms += poll_ms) {
     for (int i = 0; i < serving; ++i) {
       Millis clock_error(max_clock_error ? i * 37 % max_clock_error : 0);
-      TurnAsk ask{
+      SendSlotQuery query{
           "i-1", per_s, {serving, i}, kUnixTime + Millis(ms) + clock_error};
       auto& last_slot = last_slots[static_cast<size_t>(i)];
-      while (auto slot = OpenTurn(ask, last_slot)) {
+      while (auto slot = FindOpenSendSlot(query, last_slot)) {
         last_slot = slot;
         out.push_back(Millis(ms));
       }
@@ -90,12 +90,12 @@
 // Guards against an entry whose clock was set back and that finds no open slot
 // until the clock has caught up.
 TEST(limit_policy, FindsSlotsAfterClockIsSetBack) {
-  TurnAsk ask{"i-1", 2, {1, 0}, kUnixTime};
+  SendSlotQuery query{"i-1", 2, {1, 0}, kUnixTime};
   std::optional<Millis> last_slot = kUnixTime + Millis(3'600'000);
   int slots_used = 0;
   for (int ms = 0; ms < 5000; ms += 20) {
-    ask.time = kUnixTime + Millis(ms);
-    if (auto slot = OpenTurn(ask, last_slot)) {
+    query.time = kUnixTime + Millis(ms);
+    if (auto slot = FindOpenSendSlot(query, last_slot)) {
       last_slot = slot;
       ++slots_used;
     }
@@ -109,60 +109,60 @@
 }
 
 TEST(limit_policy, NewestRecordWins) {
-  LimitBook book;
-  book.TakeTold({MakeRecord("a", 2.0, 100, 0)});
-  book.TakeTold({MakeRecord("a", 3.0, 50, 0)});
-  DOUBLES_EQUAL(2.0, *book.Find("a")->per_s, 0);
-  book.TakeTold({MakeRecord("a", std::nullopt, 200, 0)});
-  CHECK_TRUE(book.Find("a") == nullptr);
+  RateLimitTable table;
+  table.MergePublished({MakeRecord("a", 2.0, 100, 0)});
+  table.MergePublished({MakeRecord("a", 3.0, 50, 0)});
+  DOUBLES_EQUAL(2.0, *table.Find("a")->per_s, 0);
+  table.MergePublished({MakeRecord("a", std::nullopt, 200, 0)});
+  CHECK_TRUE(table.Find("a") == nullptr);
   // An older record arrives again, by a slower route.
-  book.TakeTold({MakeRecord("a", 2.0, 150, 0)});
-  CHECK_TRUE(book.Find("a") == nullptr);
+  table.MergePublished({MakeRecord("a", 2.0, 150, 0)});
+  CHECK_TRUE(table.Find("a") == nullptr);
 }
 
 TEST(limit_policy, KeepsLimitStartWhenItsValueChanges) {
-  LimitBook book;
-  CHECK_TRUE(book.Note("a", 2.0, kStart));
-  CHECK_TRUE(!book.Note("a", 2.0, kStart + Millis(10)));
-  CHECK_TRUE(book.Note("a", 1.5, kStart + Millis(20)));
-  CHECK_TRUE(book.Find("a")->since == kStart);
+  RateLimitTable table;
+  CHECK_TRUE(table.RecordLimit("a", 2.0, kStart));
+  CHECK_TRUE(!table.RecordLimit("a", 2.0, kStart + Millis(10)));
+  CHECK_TRUE(table.RecordLimit("a", 1.5, kStart + Millis(20)));
+  CHECK_TRUE(table.Find("a")->since == kStart);
 }
 
 // Guards against an upstream that announces a slightly different limit in each
 // answer, which would be published to every process each time.
 TEST(limit_policy, IgnoresSmallChanges) {
-  LimitBook book;
-  book.Note("a", 2.0, kStart);
-  CHECK_TRUE(!book.Note("a", 2.05, kStart + Millis(10)));
-  CHECK_TRUE(!book.Note("a", 1.95, kStart + Millis(20)));
-  CHECK_TRUE(book.Note("a", 2.2, kStart + Millis(30)));
-  LONGS_EQUAL(2, book.seq());
+  RateLimitTable table;
+  table.RecordLimit("a", 2.0, kStart);
+  CHECK_TRUE(!table.RecordLimit("a", 2.05, kStart + Millis(10)));
+  CHECK_TRUE(!table.RecordLimit("a", 1.95, kStart + Millis(20)));
+  CHECK_TRUE(table.RecordLimit("a", 2.2, kStart + Millis(30)));
+  LONGS_EQUAL(2, table.seq());
 }
 
 // Guards against a change that two processes report and publish to each other
 // forever, because each takes it for new.
 TEST(limit_policy, DoesNotReportBackPublishedLimits) {
-  LimitBook entry;
-  LimitBook control;
-  entry.Note("a", 2.0, kStart);
-  control.TakeReported(entry.ChangedSince(0, 10));
+  RateLimitTable entry;
+  RateLimitTable control;
+  entry.RecordLimit("a", 2.0, kStart);
+  control.MergeReported(entry.ChangedSince(0, 10));
   LONGS_EQUAL(1, control.ChangedSince(0, 10).size());
   uint64_t seq = entry.seq();
-  entry.TakeTold(control.All());
+  entry.MergePublished(control.All());
   LONGS_EQUAL(seq, entry.seq());
   LONGS_EQUAL(entry.version(), control.version());
 }
 
 TEST(limit_policy, RemovesLiftedLimitsAndUnlistedUpstreams) {
-  LimitBook book;
-  book.Note("gone", 2.0, kStart);
-  book.Note("ended", 2.0, kStart);
-  book.Note("ended", std::nullopt, kStart + Millis(10));
-  book.Note("here", 2.0, kStart);
+  RateLimitTable table;
+  table.RecordLimit("gone", 2.0, kStart);
+  table.RecordLimit("ended", 2.0, kStart);
+  table.RecordLimit("ended", std::nullopt, kStart + Millis(10));
+  table.RecordLimit("here", 2.0, kStart);
   auto listed = [](const std::string& id) { return id != "gone"; };
-  book.Keep(listed, kStart + Millis(1000));
-  LONGS_EQUAL(3, book.All().size());
-  book.Keep(listed, kStart + std::chrono::hours(1));
-  LONGS_EQUAL(1, book.All().size());
-  CHECK_TRUE(book.Find("here") != nullptr);
+  table.RemoveStaleLimits(listed, kStart + Millis(1000));
+  LONGS_EQUAL(3, table.All().size());
+  table.RemoveStaleLimits(listed, kStart + std::chrono::hours(1));
+  LONGS_EQUAL(1, table.All().size());
+  CHECK_TRUE(table.Find("here") != nullptr);
 }
--- a/test/policy/quarantine_test.cc
+++ b/test/policy/quarantine_test.cc
@@ -17,15 +17,15 @@
 
 namespace {
 
-constexpr RequestPrint kCrashing = 1;
-constexpr RequestPrint kCoLocated = 2;
-constexpr RequestPrint kOther = 3;
+constexpr RequestFingerprint kCrashing = 1;
+constexpr RequestFingerprint kCoLocated = 2;
+constexpr RequestFingerprint kOther = 3;
 constexpr auto kTimeToCrash = Millis(50);   // From sending to the crash.
 constexpr auto kResendDelay = Millis(200);  // From a crash to the next sending.
 
 // Returns a crash `after` a request was sent at `sent`.
-Crash MakeCrash(TimePoint sent, Duration after, bool just_begun = true) {
-  return Crash{0, sent, sent + after, just_begun, false};
+Crash MakeCrash(TimePoint sent, Duration after, bool just_started = true) {
+  return Crash{0, sent, sent + after, just_started, false};
 }
 
 }  // namespace
@@ -33,10 +33,11 @@
 TEST_GROUP(quarantine) {
   // Records that upstream `n` crashed now with the requests `in_flight`, which
   // were sent a moment before.
-  void CrashUpstream(int n, std::initializer_list<RequestPrint> in_flight) {
+  void CrashUpstream(int n,
+                     std::initializer_list<RequestFingerprint> in_flight) {
     now += kResendDelay;
-    for (RequestPrint p : in_flight) {
-      q.NoteCrash(p, absl::StrCat("i-", n), MakeCrash(now, kTimeToCrash));
+    for (RequestFingerprint p : in_flight) {
+      q.RecordCrash(p, absl::StrCat("i-", n), MakeCrash(now, kTimeToCrash));
     }
     now += kTimeToCrash;
   }
@@ -47,11 +48,11 @@
 TEST(quarantine, QuarantinesAfterThreeSeparateCrashes) {
   CrashUpstream(1, {kCrashing, kOther});
   CrashUpstream(2, {kCrashing});
-  CHECK_FALSE(q.Refuses(kCrashing));
+  CHECK_FALSE(q.IsQuarantined(kCrashing));
   CrashUpstream(3, {kCrashing, kCoLocated});
-  CHECK_TRUE(q.Refuses(kCrashing));
-  CHECK_FALSE(q.Refuses(kOther));
-  CHECK_FALSE(q.Refuses(kCoLocated));
+  CHECK_TRUE(q.IsQuarantined(kCrashing));
+  CHECK_FALSE(q.IsQuarantined(kOther));
+  CHECK_FALSE(q.IsQuarantined(kCoLocated));
   CHECK_TRUE(q.RefusedFor(kCrashing, now) > Duration::zero());
 }
 
@@ -60,11 +61,11 @@
 // one of them in flight; that one is quarantined.
 TEST(quarantine, QuarantinesNeitherOfTwoRequestsAlwaysCoLocated) {
   for (int n = 1; n <= 3; ++n) CrashUpstream(n, {kCrashing, kCoLocated});
-  CHECK_FALSE(q.Refuses(kCrashing));
-  CHECK_FALSE(q.Refuses(kCoLocated));
+  CHECK_FALSE(q.IsQuarantined(kCrashing));
+  CHECK_FALSE(q.IsQuarantined(kCoLocated));
   CrashUpstream(4, {kCrashing});
-  CHECK_TRUE(q.Refuses(kCrashing));
-  CHECK_FALSE(q.Refuses(kCoLocated));
+  CHECK_TRUE(q.IsQuarantined(kCrashing));
+  CHECK_FALSE(q.IsQuarantined(kCoLocated));
 }
 
 // Guards against crashes without end while two requests cannot be told apart.
@@ -72,7 +73,7 @@
   for (int n = 1; n <= QuarantinePolicy().min_crashes_if_ambiguous; ++n) {
     CrashUpstream(n, {kCrashing, kCoLocated});
   }
-  CHECK_TRUE(q.Refuses(kCrashing));
+  CHECK_TRUE(q.IsQuarantined(kCrashing));
 }
 
 // Each of two crash-inducing requests has crashes of its own and is found. A
@@ -85,9 +86,9 @@
   CrashUpstream(4, {kOther});
   CrashUpstream(5, {kCrashing});
   CrashUpstream(6, {kOther});
-  CHECK_TRUE(q.Refuses(kCrashing));
-  CHECK_TRUE(q.Refuses(kOther));
-  CHECK_FALSE(q.Refuses(kCoLocated));
+  CHECK_TRUE(q.IsQuarantined(kCrashing));
+  CHECK_TRUE(q.IsQuarantined(kOther));
+  CHECK_FALSE(q.IsQuarantined(kCoLocated));
 }
 
 // Guards against a quarantine after one power loss: a lookup that many callers
@@ -95,10 +96,10 @@
 // No upstream received it after another one had terminated.
 TEST(quarantine, CountsSimultaneousCrashesOnce) {
   for (int n = 1; n <= 4; ++n) {
-    q.NoteCrash(kOther, absl::StrCat("i-", n),
-                MakeCrash(now, kTimeToCrash + Millis(n)));
+    q.RecordCrash(kOther, absl::StrCat("i-", n),
+                  MakeCrash(now, kTimeToCrash + Millis(n)));
   }
-  CHECK_FALSE(q.Refuses(kOther));
+  CHECK_FALSE(q.IsQuarantined(kOther));
 }
 
 // Guards against the quarantine of a long generation that was in flight at
@@ -108,19 +109,19 @@
 // request has run there for seconds. A request that crashes upstreams late is
 // still found, after two more crashes.
 TEST(quarantine, RequiresMoreCrashesOfMovedOrRunningRequests) {
-  q.NoteCrash(kOther, "i-1", MakeCrash(now, kTimeToCrash));
-  q.NoteCrash(kOther, "i-2", MakeCrash(now + kTimeToCrash, Millis(1)));
-  q.NoteCrash(kOther, "i-3",
-              MakeCrash(now + kResendDelay, kResendDelay, false));
-  q.NoteCrash(kOther, "i-4",
-              MakeCrash(now + 3 * kResendDelay, kResendDelay, false));
-  CHECK_FALSE(q.Refuses(kOther));
-  q.NoteCrash(kOther, "i-5",
-              MakeCrash(now + 5 * kResendDelay, kResendDelay, false));
-  CHECK_FALSE(q.Refuses(kOther));
-  q.NoteCrash(kOther, "i-6",
-              MakeCrash(now + 7 * kResendDelay, kResendDelay, false));
-  CHECK_TRUE(q.Refuses(kOther));
+  q.RecordCrash(kOther, "i-1", MakeCrash(now, kTimeToCrash));
+  q.RecordCrash(kOther, "i-2", MakeCrash(now + kTimeToCrash, Millis(1)));
+  q.RecordCrash(kOther, "i-3",
+                MakeCrash(now + kResendDelay, kResendDelay, false));
+  q.RecordCrash(kOther, "i-4",
+                MakeCrash(now + 3 * kResendDelay, kResendDelay, false));
+  CHECK_FALSE(q.IsQuarantined(kOther));
+  q.RecordCrash(kOther, "i-5",
+                MakeCrash(now + 5 * kResendDelay, kResendDelay, false));
+  CHECK_FALSE(q.IsQuarantined(kOther));
+  q.RecordCrash(kOther, "i-6",
+                MakeCrash(now + 7 * kResendDelay, kResendDelay, false));
+  CHECK_TRUE(q.IsQuarantined(kOther));
 }
 
 // Guards against the quarantine of a generation that was in flight at three
@@ -129,43 +130,43 @@
 // the records of those engines arrive later.
 TEST(quarantine, ClearsCrashesThatCoincideWithOtherTerminations) {
   for (int n = 1; n <= 3; ++n) CrashUpstream(n, {kOther});
-  CHECK_TRUE(q.Refuses(kOther));
+  CHECK_TRUE(q.IsQuarantined(kOther));
   Quarantine other_process;
-  other_process.NoteCrash(
+  other_process.RecordCrash(
       kCoLocated, "i-8",
       MakeCrash(now - kTimeToCrash, kTimeToCrash + Millis(3)));
-  q.TakeReported(other_process.ChangedSince(0, 10));
-  CHECK_FALSE(q.Refuses(kOther));
+  q.MergeReported(other_process.ChangedSince(0, 10));
+  CHECK_FALSE(q.IsQuarantined(kOther));
   // The clearing is published too.
   Quarantine follower;
-  follower.TakeTold(q.Shared());
-  CHECK_FALSE(follower.Refuses(kOther));
+  follower.MergePublished(q.RecordsToPublish());
+  CHECK_FALSE(follower.IsQuarantined(kOther));
 }
 
 // Two copies of a crash-inducing request that terminate two upstreams at the
 // same moment count against it, as it was in flight at both.
 TEST(quarantine, CountsSimultaneousCrashesOfCopies) {
   for (int n = 1; n <= 3; ++n) {
-    q.NoteCrash(kCrashing, absl::StrCat("copy-", n),
-                MakeCrash(now + kResendDelay, kTimeToCrash));
+    q.RecordCrash(kCrashing, absl::StrCat("copy-", n),
+                  MakeCrash(now + kResendDelay, kTimeToCrash));
     CrashUpstream(n, {kCrashing});
   }
-  CHECK_TRUE(q.Refuses(kCrashing));
+  CHECK_TRUE(q.IsQuarantined(kCrashing));
 }
 
 // A request that upstreams serve between crashes does not cause these crashes.
 TEST(quarantine, ClearsEarlierCrashesOfServedRequest) {
   CrashUpstream(1, {kOther});
   CrashUpstream(2, {kOther});
-  q.NoteServed(kOther);
+  q.RecordServed(kOther);
   CrashUpstream(3, {kOther});
-  CHECK_FALSE(q.Refuses(kOther));
+  CHECK_FALSE(q.IsQuarantined(kOther));
   CrashUpstream(4, {kOther});
-  CHECK_FALSE(q.Refuses(kOther));
+  CHECK_FALSE(q.IsQuarantined(kOther));
   CrashUpstream(5, {kOther});
-  CHECK_TRUE(q.Refuses(kOther));
-  q.NoteServed(kOther);
-  CHECK_FALSE(q.Refuses(kOther));
+  CHECK_TRUE(q.IsQuarantined(kOther));
+  q.RecordServed(kOther);
+  CHECK_FALSE(q.IsQuarantined(kOther));
 }
 
 // Records of two entries together quarantine a request, in whatever order and
@@ -174,29 +175,29 @@
 TEST(quarantine, MergesRecordsInAnyOrder) {
   Quarantine first;
   Quarantine second;
-  first.NoteCrash(kCrashing, "i-1", MakeCrash(now, kTimeToCrash));
-  second.NoteCrash(kCrashing, "i-2",
-                   MakeCrash(now + kResendDelay, kTimeToCrash));
-  first.NoteCrash(kCrashing, "i-3",
-                  MakeCrash(now + 2 * kResendDelay, kTimeToCrash));
+  first.RecordCrash(kCrashing, "i-1", MakeCrash(now, kTimeToCrash));
+  second.RecordCrash(kCrashing, "i-2",
+                     MakeCrash(now + kResendDelay, kTimeToCrash));
+  first.RecordCrash(kCrashing, "i-3",
+                    MakeCrash(now + 2 * kResendDelay, kTimeToCrash));
   std::vector<CrashRecord> a = first.ChangedSince(0, 10);
   std::vector<CrashRecord> b = second.ChangedSince(0, 10);
   Quarantine merged_ab;
   Quarantine merged_ba;
-  merged_ab.TakeReported(a);
-  merged_ab.TakeReported(b);
-  merged_ba.TakeReported(b);
-  merged_ba.TakeReported(a);
-  merged_ba.TakeReported(b);
-  CHECK_TRUE(merged_ab.Refuses(kCrashing));
-  CHECK_TRUE(merged_ba.Refuses(kCrashing));
+  merged_ab.MergeReported(a);
+  merged_ab.MergeReported(b);
+  merged_ba.MergeReported(b);
+  merged_ba.MergeReported(a);
+  merged_ba.MergeReported(b);
+  CHECK_TRUE(merged_ab.IsQuarantined(kCrashing));
+  CHECK_TRUE(merged_ba.IsQuarantined(kCrashing));
   CHECK_EQUAL(merged_ab.version(), merged_ba.version());
-  merged_ab.NoteServed(kCrashing);
+  merged_ab.RecordServed(kCrashing);
   CHECK_TRUE(merged_ab.version() != merged_ba.version());
-  merged_ab.TakeTold(merged_ba.Shared());
-  CHECK_FALSE(merged_ab.Refuses(kCrashing));
-  merged_ba.TakeTold(merged_ab.Shared());
-  CHECK_FALSE(merged_ba.Refuses(kCrashing));
+  merged_ab.MergePublished(merged_ba.RecordsToPublish());
+  CHECK_FALSE(merged_ab.IsQuarantined(kCrashing));
+  merged_ba.MergePublished(merged_ab.RecordsToPublish());
+  CHECK_FALSE(merged_ba.IsQuarantined(kCrashing));
   CHECK_EQUAL(merged_ab.version(), merged_ba.version());
 }
 
@@ -206,10 +207,10 @@
   CrashUpstream(1, {kCrashing});
   CrashUpstream(2, {kCrashing});
   Quarantine follower;
-  follower.TakeTold(q.Shared());
+  follower.MergePublished(q.RecordsToPublish());
   LONGS_EQUAL(0, follower.seq());
   LONGS_EQUAL(0, follower.ChangedSince(0, 10).size());
-  follower.NoteServed(kCrashing);
+  follower.RecordServed(kCrashing);
   LONGS_EQUAL(1, follower.ChangedSince(0, 10).size());
 }
 
@@ -219,7 +220,7 @@
   LONGS_EQUAL(0, q.version());
   LONGS_EQUAL(3, q.ChangedSince(0, 10).size());
   CrashUpstream(2, {kCrashing});
-  LONGS_EQUAL(1, q.Shared().size());
+  LONGS_EQUAL(1, q.RecordsToPublish().size());
   CHECK_TRUE(q.version() != 0);
 }
 
@@ -228,14 +229,15 @@
 // their records are.
 TEST(quarantine, LimitsPublishedRecords) {
   for (int n = 1; n <= 3; ++n) CrashUpstream(n, {kCrashing});
-  for (RequestPrint p = 10; p < 1000; ++p) {
+  for (RequestFingerprint p = 10; p < 1000; ++p) {
     CrashUpstream(static_cast<int>(2 * p), {p});
     CrashUpstream(static_cast<int>(2 * p + 1), {p});
   }
-  LONGS_EQUAL(QuarantinePolicy().max_published_records, q.Shared().size());
+  LONGS_EQUAL(QuarantinePolicy().max_published_records,
+              q.RecordsToPublish().size());
   Quarantine follower;
-  follower.TakeTold(q.Shared());
-  CHECK_TRUE(follower.Refuses(kCrashing));
+  follower.MergePublished(q.RecordsToPublish());
+  CHECK_TRUE(follower.IsQuarantined(kCrashing));
 }
 
 TEST(quarantine, LimitsItsSizeAndDropsExpiredRecords) {
@@ -244,44 +246,44 @@
   Quarantine small(policy);
   for (int n = 1; n <= 3; ++n) {
     now += kResendDelay;
-    small.NoteCrash(kCrashing, absl::StrCat("i-", n),
-                    MakeCrash(now, kTimeToCrash));
+    small.RecordCrash(kCrashing, absl::StrCat("i-", n),
+                      MakeCrash(now, kTimeToCrash));
   }
-  for (RequestPrint p = 10; p < 1000; ++p) {
-    small.NoteCrash(p, "i-9", MakeCrash(now + kResendDelay, kResendDelay));
+  for (RequestFingerprint p = 10; p < 1000; ++p) {
+    small.RecordCrash(p, "i-9", MakeCrash(now + kResendDelay, kResendDelay));
   }
   LONGS_EQUAL(100, small.ChangedSince(0, 10000).size());
-  CHECK_TRUE(small.Refuses(kCrashing));
+  CHECK_TRUE(small.IsQuarantined(kCrashing));
   for (int n = 0; n < 100; ++n) {
     now += kResendDelay;
-    small.NoteCrash(kCrashing, absl::StrCat("j-", n),
-                    MakeCrash(now, kTimeToCrash));
+    small.RecordCrash(kCrashing, absl::StrCat("j-", n),
+                      MakeCrash(now, kTimeToCrash));
   }
   LONGS_EQUAL(policy.max_crashes_per_record,
-              small.Shared().front().crashes.size());
+              small.RecordsToPublish().front().crashes.size());
   small.Tick(now + policy.retention + std::chrono::seconds(2));
-  CHECK_FALSE(small.Refuses(kCrashing));
+  CHECK_FALSE(small.IsQuarantined(kCrashing));
   LONGS_EQUAL(0, small.version());
 }
 
 // A report is repeated until it is confirmed. All records are reported again if
 // the target fails, as it may have restarted without them.
 TEST(quarantine, RepeatsReportsUntilConfirmed) {
-  CrashReports reports(q);
+  CrashReportTracker reports(q);
   CrashUpstream(1, {kCrashing});
-  CHECK_TRUE(reports.waiting());
-  LONGS_EQUAL(1, reports.For("a").size());
-  CHECK_FALSE(reports.waiting());
-  LONGS_EQUAL(1, reports.For("a").size());
-  reports.Confirmed();
-  LONGS_EQUAL(0, reports.For("a").size());
+  CHECK_TRUE(reports.has_unreported());
+  LONGS_EQUAL(1, reports.RecordsToReport("a").size());
+  CHECK_FALSE(reports.has_unreported());
+  LONGS_EQUAL(1, reports.RecordsToReport("a").size());
+  reports.OnDelivered();
+  LONGS_EQUAL(0, reports.RecordsToReport("a").size());
   CrashUpstream(2, {kOther});
-  LONGS_EQUAL(1, reports.For("a").size());
-  reports.Confirmed();
-  reports.Lost();
-  LONGS_EQUAL(2, reports.For("a").size());
-  reports.Confirmed();
-  LONGS_EQUAL(2, reports.For("b").size());
+  LONGS_EQUAL(1, reports.RecordsToReport("a").size());
+  reports.OnDelivered();
+  reports.OnTargetLost();
+  LONGS_EQUAL(2, reports.RecordsToReport("a").size());
+  reports.OnDelivered();
+  LONGS_EQUAL(2, reports.RecordsToReport("b").size());
 }
 
 // Processes have unrelated monotonic clocks, so records are encoded with ages.
@@ -289,19 +291,19 @@
   for (int n = 1; n <= 3; ++n) CrashUpstream(n, {kCrashing});
   TimePoint other_now{std::chrono::hours(500)};
   Quarantine other;
-  other.TakeTold(
-      *DecodeCrashRecords(EncodeCrashRecords(q.Shared(), now), other_now));
-  CHECK_TRUE(other.Refuses(kCrashing));
+  other.MergePublished(*DecodeCrashRecords(
+      EncodeCrashRecords(q.RecordsToPublish(), now), other_now));
+  CHECK_TRUE(other.IsQuarantined(kCrashing));
   CHECK_EQUAL(q.version(), other.version());
   CHECK_EQUAL(ToMs(q.RefusedFor(kCrashing, now)),
               ToMs(other.RefusedFor(kCrashing, other_now)));
 
-  std::string dir = TempDir();
+  std::string dir = MakeTempDir();
   CHECK_TRUE(LoadCrashRecords(dir, now).empty());
-  CHECK_TRUE(SaveCrashRecords(dir, q.Shared(), now, {}).ok());
+  CHECK_TRUE(SaveCrashRecords(dir, q.RecordsToPublish(), now, {}).ok());
   Quarantine restored;
-  restored.TakeReported(LoadCrashRecords(dir, other_now));
-  CHECK_TRUE(restored.Refuses(kCrashing));
+  restored.MergeReported(LoadCrashRecords(dir, other_now));
+  CHECK_TRUE(restored.IsQuarantined(kCrashing));
   // A damaged file counts as missing.
   for (const auto& f : std::filesystem::directory_iterator(dir)) {
     std::fstream damaged(f.path(), std::ios::in | std::ios::out);
@@ -314,9 +316,9 @@
 
 // The same body from another account or at another path is another request.
 TEST(quarantine, FingerprintDependsOnPathAccountAndBody) {
-  RequestPrint p = PrintOf("/a/1", "club", "words");
-  CHECK_TRUE(p == PrintOf("/a/1", "club", "words"));
-  CHECK_TRUE(p != PrintOf("/a/2", "club", "words"));
-  CHECK_TRUE(p != PrintOf("/a/1", "other", "words"));
-  CHECK_TRUE(p != PrintOf("/a/1", "club", "word"));
+  RequestFingerprint p = ComputeFingerprint("/a/1", "club", "words");
+  CHECK_TRUE(p == ComputeFingerprint("/a/1", "club", "words"));
+  CHECK_TRUE(p != ComputeFingerprint("/a/2", "club", "words"));
+  CHECK_TRUE(p != ComputeFingerprint("/a/1", "other", "words"));
+  CHECK_TRUE(p != ComputeFingerprint("/a/1", "club", "word"));
 }
--- a/test/policy/waiting_test.cc
+++ b/test/policy/waiting_test.cc
@@ -68,7 +68,7 @@
   for (uint64_t i = 5; i <= 7; ++i) r.Enter(i, kTop).IgnoreError();
   absl::Status low = r.Enter(8, kLow);
   CHECK_FALSE(low.ok());
-  CHECK(KindOf(low) == ErrorKind::kOverloaded);
+  CHECK(ErrorKindOf(low) == ErrorKind::kOverloaded);
   CHECK_FALSE(r.shed.has_value());
 }
 
@@ -169,7 +169,7 @@
   for (uint64_t i = 10; i < 20; ++i) CHECK_TRUE(r.Enter(i, kTop).ok());
   // 11 requests ahead at 10/s take 1.1 s, more than the 500 ms target.
   absl::Status s = r.Enter(30, kTop, Millis(500));
-  CHECK(KindOf(s) == ErrorKind::kTargetUnmeetable);
+  CHECK(ErrorKindOf(s) == ErrorKind::kTargetUnmeetable);
 }
 
 // Differential test against first come, first served on random traces.
--- a/test/procs.cc
+++ b/test/procs.cc
@@ -75,8 +75,9 @@
          "medlarwalk";
 }
 
-pid_t Spawn(const std::vector<std::string>& args, const std::string& log,
-            const std::vector<std::string>& env) {
+pid_t SpawnMedlarwalk(const std::vector<std::string>& args,
+                      const std::string& log,
+                      const std::vector<std::string>& env) {
   std::string path = BinaryPath();
   pid_t pid = fork();
   if (pid == 0) {
@@ -94,7 +95,7 @@
   return pid;
 }
 
-bool Stop(pid_t pid, int sig, int wait_ms) {
+bool SignalAndWait(pid_t pid, int sig, int wait_ms) {
   kill(pid, sig);
   if (sig == SIGSTOP || sig == SIGCONT) return false;
   for (int waited = 0; waited <= wait_ms; waited += kPollIntervalMs) {
@@ -130,12 +131,12 @@
   return PerformRequest("GET", url, "", {}, timeout_ms);
 }
 
-std::string TempDir() {
+std::string MakeTempDir() {
   char tmpl[] = "/tmp/mw-test-XXXXXX";
   return mkdtemp(tmpl);
 }
 
-int FreeBase() {
+int ClaimPortRange() {
   // Below the kernel's ephemeral range (32768 and up), so that no outgoing
   // connection holds a port on which a test wants to listen.
   constexpr int kFirst = 20000;
--- a/test/procs.h
+++ b/test/procs.h
@@ -18,13 +18,14 @@
 
 // Starts `medlarwalk ARGS...` with its output appended to the file `log` and
 // `env` ("NAME=value" each) added to its environment. Returns the process id.
-pid_t Spawn(const std::vector<std::string>& args, const std::string& log,
-            const std::vector<std::string>& env = {});
+pid_t SpawnMedlarwalk(const std::vector<std::string>& args,
+                      const std::string& log,
+                      const std::vector<std::string>& env = {});
 
 // Sends `sig` to the process. For signals other than SIGSTOP and SIGCONT, waits
 // up to `wait_ms` for it to exit, then kills it. Returns true when the process
 // exited within this time.
-bool Stop(pid_t pid, int sig, int wait_ms = 5000);
+bool SignalAndWait(pid_t pid, int sig, int wait_ms = 5000);
 
 // Waits up to `ms` until a process accepts connections on 127.0.0.1:`port`.
 // Returns false on timeout.
@@ -47,13 +48,13 @@
 HttpReply Get(const std::string& url, int timeout_ms = 5000);
 
 // Creates a directory under /tmp and returns its path.
-std::string TempDir();
+std::string MakeTempDir();
 
 // Claims kPortsPerRange consecutive ports for this process and returns the
 // first one. Other test processes on this host get none of them until this
 // process ends, because it listens on the last port of the range.
 inline constexpr int kPortsPerRange = 50;
-int FreeBase();
+int ClaimPortRange();
 
 }  // namespace medlarwalk::testing
 
--- a/test/replica_group.cc
+++ b/test/replica_group.cc
@@ -34,13 +34,13 @@
   return absl::OkStatus();
 }
 
-absl::Status MemoryStore::Rewrite(const StoredState& state) {
+absl::Status MemoryStore::ReplaceState(const StoredState& state) {
   if (disk_full) return DiskFullError();
   state_ = state;
   return absl::OkStatus();
 }
 
-Group::Group(int founders, uint64_t seed, ReplicaOptions options)
+ReplicaGroup::ReplicaGroup(int founders, uint64_t seed, ReplicaOptions options)
     : random(seed), options_(options) {
   clock.Advance(std::chrono::hours(1));
   for (int i = 0; i < founders; ++i) {
@@ -55,25 +55,25 @@
     h.address = seeds_[static_cast<size_t>(i)];
     h.store = std::make_unique<MemoryStore>();
     state.self = state.snapshot.members[static_cast<size_t>(i)];
-    h.store->Rewrite(state).IgnoreError();
+    h.store->ReplaceState(state).IgnoreError();
     hosts_.push_back(std::move(h));
     Start(i);
   }
 }
 
-int Group::AddJoiner() {
+int ReplicaGroup::AddJoiner() {
   Host h;
   h.address = absl::StrCat("10.0.0.", hosts_.size(), ":1");
   h.store = std::make_unique<MemoryStore>();
   StoredState state;
   state.self = Member{absl::StrCat("id-", random()), h.address};
-  h.store->Rewrite(state).IgnoreError();
+  h.store->ReplaceState(state).IgnoreError();
   hosts_.push_back(std::move(h));
   Start(size() - 1);
   return size() - 1;
 }
 
-void Group::Start(int n) {
+void ReplicaGroup::Start(int n) {
   Host& h = hosts_[static_cast<size_t>(n)];
   if (h.replica || h.removed) return;
   h.frozen = false;
@@ -85,7 +85,7 @@
       clock, options_, *h.store, h.store->state(), seeds_, hooks, random());
 }
 
-void Group::Kill(int n) {
+void ReplicaGroup::Kill(int n) {
   hosts_[static_cast<size_t>(n)].replica.reset();
   in_flight_.erase(
       std::remove_if(in_flight_.begin(), in_flight_.end(),
@@ -93,26 +93,26 @@
       in_flight_.end());
 }
 
-void Group::Wipe(int n) {
+void ReplicaGroup::Wipe(int n) {
   Kill(n);
   Host& h = hosts_[static_cast<size_t>(n)];
   StoredState state;
   state.self =
       Member{absl::StrCat("wiped-", n, "-", ++h.wipe_count), h.address};
   h.store = std::make_unique<MemoryStore>();
-  h.store->Rewrite(state).IgnoreError();
+  h.store->ReplaceState(state).IgnoreError();
 }
 
-void Group::Remove(int n) {
+void ReplicaGroup::Remove(int n) {
   Kill(n);
   hosts_[static_cast<size_t>(n)].removed = true;
 }
 
-void Group::Freeze(int n, bool frozen) {
+void ReplicaGroup::Freeze(int n, bool frozen) {
   hosts_[static_cast<size_t>(n)].frozen = frozen;
 }
 
-void Group::Cut(int a, int b, bool cut) {
+void ReplicaGroup::SetLinkCut(int a, int b, bool cut) {
   if (cut) {
     cut_links_.emplace(a, b);
   } else {
@@ -120,18 +120,18 @@
   }
 }
 
-void Group::Isolate(int n, bool cut) {
+void ReplicaGroup::Isolate(int n, bool cut) {
   for (int i = 0; i < size(); ++i) {
     if (i == n) continue;
-    Cut(n, i, cut);
-    Cut(i, n, cut);
+    SetLinkCut(n, i, cut);
+    SetLinkCut(i, n, cut);
   }
 }
 
-void Group::HealAll() { cut_links_.clear(); }
+void ReplicaGroup::HealAll() { cut_links_.clear(); }
 
-void Group::Send(int from, const std::string& address,
-                 const ReplicaMessage& m) {
+void ReplicaGroup::Send(int from, const std::string& address,
+                        const ReplicaMessage& m) {
   for (int to = 0; to < size(); ++to) {
     if (hosts_[static_cast<size_t>(to)].address != address) continue;
     if (cut_links_.count({from, to})) return;
@@ -150,7 +150,7 @@
   }
 }
 
-void Group::DeliverDueMessages() {
+void ReplicaGroup::DeliverDueMessages() {
   std::vector<InFlightMessage> due;
   std::vector<InFlightMessage> not_due;
   for (InFlightMessage& f : in_flight_) {
@@ -168,7 +168,7 @@
   }
 }
 
-void Group::Run(Duration d) {
+void ReplicaGroup::Run(Duration d) {
   for (Duration elapsed{}; elapsed < d; elapsed += kTimeStep) {
     clock.Advance(kTimeStep);
     DeliverDueMessages();
@@ -178,7 +178,7 @@
   }
 }
 
-int Group::Leader() {
+int ReplicaGroup::Leader() {
   int leader = -1;
   for (int i = 0; i < size(); ++i) {
     if (!running(i) || node(i)->role() != ReplicaRole::kLeader) continue;
@@ -187,11 +187,12 @@
   return leader;
 }
 
-int Group::AwaitLeader(Duration d) {
+int ReplicaGroup::AwaitLeader(Duration d) {
   for (Duration elapsed{}; elapsed < d; elapsed += Millis(50)) {
     Run(Millis(50));
     int leader = Leader();
-    if (leader >= 0 && node(leader)->LeaderAge() < std::chrono::seconds(1))
+    if (leader >= 0 &&
+        node(leader)->TimeSinceLeaderContact() < std::chrono::seconds(1))
       return leader;
   }
   return -1;
--- a/test/replica_group.h
+++ b/test/replica_group.h
@@ -22,7 +22,7 @@
   absl::Status SaveTermAndVote(uint64_t term, const std::string& vote) override;
   absl::Status AppendEntries(const std::vector<LogEntry>& entries) override;
   absl::Status TruncateFrom(uint64_t index) override;
-  absl::Status Rewrite(const StoredState& state) override;
+  absl::Status ReplaceState(const StoredState& state) override;
   const StoredState& state() const { return state_; }
   bool disk_full = false;  // If true, every write fails.
 
@@ -31,9 +31,9 @@
 };
 
 // A group of replicas on simulated hosts. Host N has the address "10.0.0.N:1".
-class Group {
+class ReplicaGroup {
  public:
-  Group(int founders, uint64_t seed, ReplicaOptions options = {});
+  ReplicaGroup(int founders, uint64_t seed, ReplicaOptions options = {});
 
   // Adds a host with an empty disk that joins through the seeds. Returns its
   // number.
@@ -48,7 +48,7 @@
   void Freeze(int n, bool frozen);
   // Drops (or no longer drops) messages from `a` to `b`, in this direction
   // only.
-  void Cut(int a, int b, bool cut);
+  void SetLinkCut(int a, int b, bool cut);
   // Cuts or restores all links of host `n`, in both directions.
   void Isolate(int n, bool cut);
   void HealAll();
--- a/test/replica_store_test.cc
+++ b/test/replica_store_test.cc
@@ -13,7 +13,7 @@
 #include "replica_codec.h"
 
 using namespace medlarwalk;
-using medlarwalk::testing::TempDir;
+using medlarwalk::testing::MakeTempDir;
 
 namespace {
 
@@ -44,10 +44,10 @@
 
 // Returns a new directory whose store holds ten entries.
 std::string DirWithTenEntries() {
-  std::string dir = TempDir();
+  std::string dir = MakeTempDir();
   FileReplicaStore store(dir);
   CHECK_TRUE(absl::IsNotFound(store.Load().status()));
-  CHECK_TRUE(store.Rewrite(NewState()).ok());
+  CHECK_TRUE(store.ReplaceState(NewState()).ok());
   CHECK_TRUE(store.SaveTermAndVote(1, "id").ok());
   for (uint64_t i = 1; i <= 10; ++i) {
     CHECK_TRUE(
@@ -101,10 +101,10 @@
 
 // After hundreds of appends and a restart, the last entry is still there.
 TEST(replica_store, RestartKeepsHundredsOfEntries) {
-  std::string dir = TempDir();
+  std::string dir = MakeTempDir();
   {
     FileReplicaStore store(dir);
-    CHECK_TRUE(store.Rewrite(NewState()).ok());
+    CHECK_TRUE(store.ReplaceState(NewState()).ok());
     for (uint64_t i = 1; i <= 400; ++i) {
       CHECK_TRUE(
           store.AppendEntries({ConfigEntry(i, static_cast<int64_t>(i))}).ok());
--- a/test/replica_test.cc
+++ b/test/replica_test.cc
@@ -19,7 +19,7 @@
 
 // Proposes `version` at the leader and runs the group until the proposal
 // completes or `wait` has passed. Returns whether it was acknowledged.
-bool ProposeAndWait(Group& g, int64_t version,
+bool ProposeAndWait(ReplicaGroup& g, int64_t version,
                     Duration wait = std::chrono::seconds(3)) {
   int leader = g.Leader();
   if (leader < 0) return false;
@@ -37,9 +37,10 @@
 
 // Runs the group until it has a leader that is up to date. Returns the time
 // that this took.
-Duration MeasureTimeToLeader(Group& g) {
+Duration MeasureTimeToLeader(ReplicaGroup& g) {
   TimePoint start = g.clock.Now();
-  while (g.Leader() < 0 || g.node(g.Leader())->StepAge() > kMaxLeaderWait) {
+  while (g.Leader() < 0 ||
+         g.node(g.Leader())->TimeSinceInSync() > kMaxLeaderWait) {
     g.Run(Millis(10));
     if (g.clock.Now() - start > kMaxLeaderWait) FAIL("no leader");
   }
@@ -53,11 +54,11 @@
 
 // Measures how long a group of three has no leader after `restart` has stopped
 // and started it. Runs once for each seed from 1 to `seeds`.
-ElectionTimes MeasureElectionTimes(int seeds,
-                                   const std::function<void(Group&)>& restart) {
+ElectionTimes MeasureElectionTimes(
+    int seeds, const std::function<void(ReplicaGroup&)>& restart) {
   ElectionTimes times;
   for (int seed = 1; seed <= seeds; ++seed) {
-    Group g(3, static_cast<uint64_t>(seed));
+    ReplicaGroup g(3, static_cast<uint64_t>(seed));
     CHECK_TRUE(g.AwaitLeader(kMaxLeaderWait) >= 0);
     restart(g);
     Duration time_to_leader = MeasureTimeToLeader(g);
@@ -69,7 +70,7 @@
 
 // Reads the configuration version at host `n` after a read barrier. Returns
 // nullopt if the barrier fails.
-std::optional<int64_t> ReadVersionAt(Group& g, int n,
+std::optional<int64_t> ReadVersionAt(ReplicaGroup& g, int n,
                                      Duration wait = std::chrono::seconds(2)) {
   auto result = std::make_shared<std::optional<bool>>();
   g.node(n)->ReadBarrier([result](absl::Status s) { *result = s.ok(); });
@@ -89,7 +90,7 @@
 // Without faults, the founders elect a leader, and its commit reaches all of
 // them.
 TEST(replica, FoundersElectAndCommit) {
-  Group g(3, 1);
+  ReplicaGroup g(3, 1);
   CHECK_TRUE(g.AwaitLeader(kMaxLeaderWait) >= 0);
   CHECK_TRUE(ProposeAndWait(g, 7));
   g.Run(Millis(300));
@@ -103,7 +104,7 @@
 // the configuration. B must therefore restart with a new id, outside the group.
 TEST(replica, WipedHostDoesNotVote) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
-    Group g(3, seed);
+    ReplicaGroup g(3, seed);
     int leader = g.AwaitLeader(kMaxLeaderWait);
     CHECK_TRUE(leader >= 0);
     int behind = (leader + 1) % 3;
@@ -131,7 +132,7 @@
 // another host fails. The first dead member must no longer count toward the
 // quorum.
 TEST(replica, ReplacedHostsDoNotRaiseTheQuorum) {
-  Group g(4, 3);
+  ReplicaGroup g(4, 3);
   CHECK_TRUE(g.AwaitLeader(kMaxLeaderWait) >= 0);
   CHECK_TRUE(ProposeAndWait(g, 1));
   for (int round = 0; round < 4; ++round) {
@@ -155,7 +156,7 @@
 // barrier therefore asks the other members after the read has arrived.
 TEST(replica, FrozenLeaderGivesNoStaleReads) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
-    Group g(3, seed);
+    ReplicaGroup g(3, seed);
     int old_leader = g.AwaitLeader(kMaxLeaderWait);
     CHECK_TRUE(ProposeAndWait(g, 1));
     g.Freeze(old_leader, true);
@@ -172,7 +173,7 @@
 // long partition. Without pre-vote, each failed election would raise the host's
 // term. With pre-vote, it first asks whether it could win and keeps its term.
 TEST(replica, ReturningHostDoesNotDeposeTheLeader) {
-  Group g(3, 5);
+  ReplicaGroup g(3, 5);
   int leader = g.AwaitLeader(kMaxLeaderWait);
   uint64_t term = g.node(leader)->term();
   g.Isolate((leader + 1) % 3, true);
@@ -187,7 +188,7 @@
 // work. A leader whose disk rejects writes must step down, so that a host with
 // a working disk becomes leader.
 TEST(replica, LeaderWithFullDiskStepsDown) {
-  Group g(3, 6);
+  ReplicaGroup g(3, 6);
   int leader = g.AwaitLeader(kMaxLeaderWait);
   g.store(leader).disk_full = true;
   CHECK_FALSE(ProposeAndWait(g, 1, Millis(500)));
@@ -201,7 +202,7 @@
 TEST(replica, JoinerCatchesUpFromSnapshot) {
   ReplicaOptions o;
   o.compact_entries = 8;
-  Group g(3, 7, o);
+  ReplicaGroup g(3, 7, o);
   CHECK_TRUE(g.AwaitLeader(kMaxLeaderWait) >= 0);
   for (int v = 1; v <= 40; ++v) CHECK_TRUE(ProposeAndWait(g, v));
   int n = g.AddJoiner();
@@ -221,7 +222,7 @@
     ReplicaOptions o;
     o.compact_entries = 8;
     o.batch_bytes = 200;  // Catching up takes many messages.
-    Group g(3, seed, o);
+    ReplicaGroup g(3, seed, o);
     CHECK_TRUE(g.AwaitLeader(kMaxLeaderWait) >= 0);
     for (int v = 1; v <= 30; ++v) CHECK_TRUE(ProposeAndWait(g, v));
     for (int i = 0; i < 3; ++i) g.Kill(i);
@@ -233,7 +234,7 @@
       g.Run(Millis(10));
       all_up_to_date = true;
       for (int i = 0; i < 3; ++i) {
-        if (g.node(i)->StepAge() > std::chrono::seconds(1)) {
+        if (g.node(i)->TimeSinceInSync() > std::chrono::seconds(1)) {
           all_up_to_date = false;
         } else {
           LONGS_EQUAL(30, g.node(i)->config_version());
@@ -249,7 +250,7 @@
 // and wait before they request votes. This wait was as long as if a leader
 // could exist, but there is none before any replica has had contact with one.
 TEST(replica, SimultaneousStartElectsLeaderQuickly) {
-  ElectionTimes t = MeasureElectionTimes(40, [](Group& g) {
+  ElectionTimes t = MeasureElectionTimes(40, [](ReplicaGroup& g) {
     CHECK_TRUE(ProposeAndWait(g, 1));
     for (int i = 0; i < 3; ++i) g.Kill(i);
     for (int i = 0; i < 3; ++i) g.Start(i);
@@ -264,7 +265,7 @@
 // the same time, both win the pre-vote and then vote for themselves, and each
 // retry waits longer. Of two concurrent candidates, one must therefore yield.
 TEST(replica, ConcurrentCandidatesDoNotSplitTheVote) {
-  ElectionTimes t = MeasureElectionTimes(60, [](Group& g) {
+  ElectionTimes t = MeasureElectionTimes(60, [](ReplicaGroup& g) {
     g.AddJoiner();
     g.Run(std::chrono::seconds(3));
     LONGS_EQUAL(4, g.node(g.Leader())->members().size());
@@ -283,7 +284,7 @@
 // still there.
 TEST(replica, RandomHistoriesAgreeWithSingleCopy) {
   for (uint64_t seed = 1; seed <= 150; ++seed) {
-    Group g(3, seed);
+    ReplicaGroup g(3, seed);
     if (seed % 2) g.AddJoiner();
     int64_t newest_acked = 0;  // State of the single copy.
     int64_t next_version = 1;
--- a/test/upstream_pool_test.cc
+++ b/test/upstream_pool_test.cc
@@ -15,7 +15,7 @@
   bool idle() const override { return true; }
   bool open() const override { return open_; }
   bool sent() const override { return false; }
-  void PauseRead(bool) override {}
+  void SetReadPaused(bool) override {}
   TimePoint idle_since() const override { return BootClock().Now(); }
   Duration keep_for() const override { return std::chrono::seconds(4); }
 
--- a/test/watch_client_test.cc
+++ b/test/watch_client_test.cc
@@ -20,7 +20,7 @@
 class FakeControls {
  public:
   explicit FakeControls(int n)
-      : loop_(ev_loop_new(EVFLAG_AUTO)), base_(FreeBase()) {
+      : loop_(ev_loop_new(EVFLAG_AUTO)), base_(ClaimPortRange()) {
     for (int i = 0; i < n; ++i) {
       endpoints_.push_back({Address(i), absl::StrCat("dc-", i)});
     }
@@ -40,7 +40,7 @@
         loop_, [this, i](const H2Request&, std::shared_ptr<H2Stream> s) {
           ++watches_received[i];
           WatchReply r;
-          r.age_ms = 0;
+          r.sync_age_ms = 0;
           r.control = endpoints_;
           s->Respond(200, {}, EncodeWatchReply(r));
         });
