--- a/test/duty/duty_test.cc
+++ b/test/duty/duty_test.cc
@@ -300,7 +300,7 @@
   explicit ReportingGroup(uint64_t seed)
       // The log is compacted often, so that returning replicas get a snapshot.
       : group(5, seed, CompactingOptions()),
-        judge(LeadershipPolicy().lease),
+        checker(LeadershipPolicy().lease),
         random_(seed) {
     for (int i = 0; i < group.size(); ++i) hosts_.emplace_back();
     first_window_ = CurrentWindow();
@@ -310,7 +310,7 @@
     group.Run(Millis(20));
     TimePoint now = group.clock.Now();
     while (!delayed_calls_.empty() && delayed_calls_.begin()->first <= now) {
-      judge.CarryOut(delayed_calls_.begin()->second);
+      checker.CarryOut(delayed_calls_.begin()->second);
       delayed_calls_.erase(delayed_calls_.begin());
     }
     for (int i = 0; i < group.size(); ++i) {
@@ -329,7 +329,7 @@
   }
 
   ReplicaGroup group;
-  UsageJudge judge;
+  UsageReportChecker checker;
   bool no_faults = false;  // The platform answers every call at once.
 
  private:
@@ -381,13 +381,14 @@
   void Call(int i, int64_t window, uint64_t token, UsageCounts counts,
             TimePoint now) {
     Host& h = hosts_[static_cast<size_t>(i)];
-    UsageJudge::Call c{std::to_string(i), token, window, std::move(counts)};
-    judge.Arrived(c, now);
+    UsageReportChecker::Call c{std::to_string(i), token, window,
+                               std::move(counts)};
+    checker.OnCallArrived(c, now);
     int outcome = no_faults ? 9 : RandomBelow(10);
     if (outcome < 3) {
       delayed_calls_.emplace(now + Millis(2000 + RandomBelow(10000)), c);
       h.deliveries.RecordFailed(window, now);
-    } else if (!judge.CarryOut(c)) {
+    } else if (!checker.CarryOut(c)) {
       h.leadership.RecordRefusal(token);
     } else if (outcome < 5) {
       h.deliveries.RecordFailed(window, now);  // The answer is lost.
@@ -399,7 +400,7 @@
   std::mt19937_64 random_;
   std::vector<Host> hosts_;
   int64_t first_window_ = 0;
-  std::multimap<TimePoint, UsageJudge::Call> delayed_calls_;
+  std::multimap<TimePoint, UsageReportChecker::Call> delayed_calls_;
 };
 
 }  // namespace
@@ -443,11 +444,11 @@
     }
     g.no_faults = true;
     for (int step = 0; step < 30 * 50; ++step) g.Step();
-    for (const std::string& b : g.judge.broken()) FAIL(b.c_str());
+    for (const std::string& b : g.checker.violations()) FAIL(b.c_str());
     // Checks the windows whose reports are due.
     int64_t now = g.CurrentWindow();
     for (int64_t w = g.first(); w <= now - 3; ++w) {
-      if (!g.judge.taken().count(w)) {
+      if (!g.checker.accepted_reports().count(w)) {
         FAIL(("seed " + std::to_string(seed) + ": window " + std::to_string(w) +
               " of " + std::to_string(now) + " was not reported")
                  .c_str());
