--- a/fuzz/own_api.cc
+++ b/fuzz/native_api.cc
@@ -1,7 +1,7 @@
 // Fuzz target: requests to the native API of medlarwalk. The input is the
 // target in the first line, then header lines up to an empty line, then the
 // body.
-#include "own_api.h"
+#include "native_api.h"
 
 #include <memory>
 #include <string>
--- a/fuzz/settings.cc
+++ b/fuzz/settings.cc
@@ -3,7 +3,7 @@
 #include "settings.h"
 
 #include "fuzz/fuzz.h"
-#include "own_api.h"
+#include "native_api.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
   using namespace medlarwalk;
--- a/src/base/log.cc
+++ b/src/base/log.cc
@@ -8,7 +8,7 @@
 #include <unistd.h>
 
 #include "absl/strings/str_cat.h"
-#include "log_gate.h"
+#include "log_rate_limiter.h"
 
 namespace medlarwalk {
 namespace {
--- a/src/base/log_gate.h
+++ b/src/base/log_rate_limiter.h
@@ -1,7 +1,7 @@
 // Rate limit of the log, so that a burst of events neither delays requests nor
 // fills a disk.
-#ifndef MEDLARWALK_LOG_GATE_H_
-#define MEDLARWALK_LOG_GATE_H_
+#ifndef MEDLARWALK_LOG_RATE_LIMITER_H_
+#define MEDLARWALK_LOG_RATE_LIMITER_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -50,4 +50,4 @@
 
 }  // namespace medlarwalk
 
-#endif  // MEDLARWALK_LOG_GATE_H_
+#endif  // MEDLARWALK_LOG_RATE_LIMITER_H_
--- a/src/base/request_print.h
+++ b/src/base/request_fingerprint.h
@@ -1,8 +1,8 @@
 // Fingerprint of a request: a hash of its target, account and body. A caller
 // that retries a request gives it a new id, but the fingerprint stays the same,
 // in every process and in every run.
-#ifndef MEDLARWALK_REQUEST_PRINT_H_
-#define MEDLARWALK_REQUEST_PRINT_H_
+#ifndef MEDLARWALK_REQUEST_FINGERPRINT_H_
+#define MEDLARWALK_REQUEST_FINGERPRINT_H_
 
 #include <cstdint>
 #include <string>
@@ -30,4 +30,4 @@
 
 }  // namespace medlarwalk
 
-#endif  // MEDLARWALK_REQUEST_PRINT_H_
+#endif  // MEDLARWALK_REQUEST_FINGERPRINT_H_
--- a/src/control_wire.h
+++ b/src/control_wire.h
@@ -10,12 +10,12 @@
 
 #include "absl/status/statusor.h"
 #include "absl/strings/string_view.h"
-#include "limit_book.h"
 #include "nlohmann/json.hpp"
 #include "payload.h"
 #include "quarantine.h"
+#include "rate_limit_table.h"
 #include "upstream_list.h"
-#include "usage_book.h"
+#include "usage_table.h"
 
 namespace medlarwalk {
 
--- a/src/duty/duty_turn.cc
+++ b/src/duty/duty_leadership.cc
@@ -1,4 +1,4 @@
-#include "duty_turn.h"
+#include "duty_leadership.h"
 
 #include <algorithm>
 
--- a/src/duty/duty_turn.h
+++ b/src/duty/duty_leadership.h
@@ -5,8 +5,8 @@
 // has at most one leader, so no two hosts ever use the same token. A new leader
 // waits until any previous holder must have stopped. Otherwise hosts could act
 // in the order A, B, A within one lease if leaders change quickly.
-#ifndef MEDLARWALK_DUTY_TURN_H_
-#define MEDLARWALK_DUTY_TURN_H_
+#ifndef MEDLARWALK_DUTY_LEADERSHIP_H_
+#define MEDLARWALK_DUTY_LEADERSHIP_H_
 
 #include <cstdint>
 #include <optional>
@@ -64,4 +64,4 @@
 
 }  // namespace medlarwalk
 
-#endif  // MEDLARWALK_DUTY_TURN_H_
+#endif  // MEDLARWALK_DUTY_LEADERSHIP_H_
--- a/src/duty/usage_schedule.h
+++ b/src/duty/usage_schedule.h
@@ -12,7 +12,7 @@
 #include "absl/strings/string_view.h"
 #include "duty_log.h"
 #include "types.h"
-#include "usage_book.h"
+#include "usage_table.h"
 
 namespace medlarwalk {
 
--- a/src/duty/usage_book.cc
+++ b/src/duty/usage_table.cc
@@ -1,4 +1,4 @@
-#include "usage_book.h"
+#include "usage_table.h"
 
 #include <algorithm>
 #include <set>
--- a/src/duty/usage_book.h
+++ b/src/duty/usage_table.h
@@ -3,8 +3,8 @@
 // holds the counts of all processes that report to it. Each process has its own
 // counts, which only grow, and merging keeps the larger value. So counts may be
 // reported any number of times and through any other process.
-#ifndef MEDLARWALK_USAGE_BOOK_H_
-#define MEDLARWALK_USAGE_BOOK_H_
+#ifndef MEDLARWALK_USAGE_TABLE_H_
+#define MEDLARWALK_USAGE_TABLE_H_
 
 #include <cstdint>
 #include <map>
@@ -113,4 +113,4 @@
 
 }  // namespace medlarwalk
 
-#endif  // MEDLARWALK_USAGE_BOOK_H_
+#endif  // MEDLARWALK_USAGE_TABLE_H_
--- a/src/entry.cc
+++ b/src/entry.cc
@@ -5,8 +5,8 @@
 #include "agent_link.h"
 #include "log.h"
 #include "loop_order.h"
+#include "native_api.h"
 #include "nlohmann/json.hpp"
-#include "own_api.h"
 
 namespace medlarwalk {
 namespace {
--- a/src/load.cc
+++ b/src/load_tool.cc
@@ -1,4 +1,4 @@
-#include "load.h"
+#include "load_tool.h"
 
 #include <curl/curl.h>
 #include <ev.h>
--- a/src/load.h
+++ b/src/load_tool.h
@@ -3,8 +3,8 @@
 // requests answered completely within both latency targets), goodput (tokens
 // per second of such answers) and wasted work (tokens that engines generated
 // but that reached no caller in a complete answer).
-#ifndef MEDLARWALK_LOAD_H_
-#define MEDLARWALK_LOAD_H_
+#ifndef MEDLARWALK_LOAD_TOOL_H_
+#define MEDLARWALK_LOAD_TOOL_H_
 
 #include <string>
 #include <string_view>
@@ -87,4 +87,4 @@
 
 }  // namespace medlarwalk
 
-#endif  // MEDLARWALK_LOAD_H_
+#endif  // MEDLARWALK_LOAD_TOOL_H_
--- a/src/main.cc
+++ b/src/main.cc
@@ -20,7 +20,7 @@
 #include "entry.h"
 #include "fake_engine.h"
 #include "fake_service.h"
-#include "load.h"
+#include "load_tool.h"
 #include "log.h"
 #include "platform/run.h"
 #include "settings.h"
--- a/src/own_api.cc
+++ b/src/native_api.cc
@@ -1,4 +1,4 @@
-#include "own_api.h"
+#include "native_api.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/own_api.h
+++ b/src/native_api.h
@@ -2,8 +2,8 @@
 // callers (OpenAI-style completions and plain services, with account and class
 // in headers), the settings file and the agents. This code makes no routing
 // decisions.
-#ifndef MEDLARWALK_OWN_API_H_
-#define MEDLARWALK_OWN_API_H_
+#ifndef MEDLARWALK_NATIVE_API_H_
+#define MEDLARWALK_NATIVE_API_H_
 
 #include <memory>
 #include <string>
@@ -29,4 +29,4 @@
 
 }  // namespace medlarwalk
 
-#endif  // MEDLARWALK_OWN_API_H_
+#endif  // MEDLARWALK_NATIVE_API_H_
--- a/src/policy/quarantine.h
+++ b/src/policy/quarantine.h
@@ -22,8 +22,8 @@
 
 #include "absl/strings/string_view.h"
 #include "absl/types/span.h"
-#include "change_reports.h"
-#include "request_print.h"
+#include "report_tracker.h"
+#include "request_fingerprint.h"
 #include "types.h"
 
 namespace medlarwalk {
--- a/src/policy/limit_book.cc
+++ b/src/policy/rate_limit_table.cc
@@ -1,4 +1,4 @@
-#include "limit_book.h"
+#include "rate_limit_table.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/policy/limit_book.h
+++ b/src/policy/rate_limit_table.h
@@ -7,8 +7,8 @@
 // then, and would send too little for as long after the limit has ended. So a
 // process reports a changed limit at once, and every process uses the newest
 // limit that any process has received.
-#ifndef MEDLARWALK_LIMIT_BOOK_H_
-#define MEDLARWALK_LIMIT_BOOK_H_
+#ifndef MEDLARWALK_RATE_LIMIT_TABLE_H_
+#define MEDLARWALK_RATE_LIMIT_TABLE_H_
 
 #include <cstdint>
 #include <functional>
@@ -18,7 +18,7 @@
 #include <vector>
 
 #include "absl/types/span.h"
-#include "change_reports.h"
+#include "report_tracker.h"
 #include "types.h"
 
 namespace medlarwalk {
@@ -88,4 +88,4 @@
 
 }  // namespace medlarwalk
 
-#endif  // MEDLARWALK_LIMIT_BOOK_H_
+#endif  // MEDLARWALK_RATE_LIMIT_TABLE_H_
--- a/src/policy/change_reports.h
+++ b/src/policy/report_tracker.h
@@ -2,8 +2,8 @@
 // confirmed yet. The source numbers its changes: seq() returns the number of
 // its last change, ChangedSince(seq, max_records) at most `max_records` records
 // that changed after `seq`.
-#ifndef MEDLARWALK_CHANGE_REPORTS_H_
-#define MEDLARWALK_CHANGE_REPORTS_H_
+#ifndef MEDLARWALK_REPORT_TRACKER_H_
+#define MEDLARWALK_REPORT_TRACKER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -47,4 +47,4 @@
 
 }  // namespace medlarwalk
 
-#endif  // MEDLARWALK_CHANGE_REPORTS_H_
+#endif  // MEDLARWALK_REPORT_TRACKER_H_
--- a/src/policy/limit_turns.cc
+++ b/src/policy/send_slots.cc
@@ -1,4 +1,4 @@
-#include "limit_turns.h"
+#include "send_slots.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/policy/limit_turns.h
+++ b/src/policy/send_slots.h
@@ -10,8 +10,8 @@
 // processes share: slot k begins at k / limit, and the slots are assigned to
 // the processes round-robin. One request may be sent in a slot, shortly after
 // the slot begins.
-#ifndef MEDLARWALK_LIMIT_TURNS_H_
-#define MEDLARWALK_LIMIT_TURNS_H_
+#ifndef MEDLARWALK_SEND_SLOTS_H_
+#define MEDLARWALK_SEND_SLOTS_H_
 
 #include <cstdint>
 #include <optional>
@@ -49,4 +49,4 @@
 
 }  // namespace medlarwalk
 
-#endif  // MEDLARWALK_LIMIT_TURNS_H_
+#endif  // MEDLARWALK_SEND_SLOTS_H_
--- a/src/usage_reporter.h
+++ b/src/usage_reporter.h
@@ -12,13 +12,13 @@
 #include <string>
 
 #include "control_wire.h"
-#include "duty_turn.h"
+#include "duty_leadership.h"
 #include "group_time.h"
 #include "http1_client.h"
 #include "metrics.h"
 #include "replica.h"
-#include "usage_book.h"
 #include "usage_schedule.h"
+#include "usage_table.h"
 
 namespace medlarwalk {
 
--- a/src/watch_reports.h
+++ b/src/watch_reports.h
@@ -7,9 +7,9 @@
 
 #include "control_wire.h"
 #include "group_time.h"
-#include "limit_book.h"
 #include "quarantine.h"
-#include "usage_book.h"
+#include "rate_limit_table.h"
+#include "usage_table.h"
 
 namespace medlarwalk {
 
--- a/test/base/log_test.cc
+++ b/test/base/log_test.cc
@@ -1,6 +1,6 @@
 // The rate limit of the log.
 #include "CppUTest/TestHarness.h"
-#include "log_gate.h"
+#include "log_rate_limiter.h"
 
 using namespace medlarwalk;
 
--- a/test/duty/duty_test.cc
+++ b/test/duty/duty_test.cc
@@ -5,13 +5,13 @@
 #include <random>
 
 #include "CppUTest/TestHarness.h"
+#include "duty_leadership.h"
 #include "duty_log.h"
-#include "duty_turn.h"
 #include "group_time.h"
-#include "platform/test/usage_judge.h"
+#include "platform/test/usage_report_checker.h"
 #include "test/replica_group.h"
-#include "usage_book.h"
 #include "usage_schedule.h"
+#include "usage_table.h"
 
 using namespace medlarwalk;
 using namespace medlarwalk::testing;
--- a/test/path_test.cc
+++ b/test/path_test.cc
@@ -13,7 +13,7 @@
 #include "CppUTest/TestHarness.h"
 #include "absl/strings/match.h"
 #include "absl/strings/str_cat.h"
-#include "load.h"
+#include "load_tool.h"
 #include "nlohmann/json.hpp"
 #include "procs.h"
 #include "settings.h"
--- a/test/policy/limit_policy_test.cc
+++ b/test/policy/limit_policy_test.cc
@@ -5,8 +5,8 @@
 
 #include "CppUTest/TestHarness.h"
 #include "absl/strings/str_cat.h"
-#include "limit_book.h"
-#include "limit_turns.h"
+#include "rate_limit_table.h"
+#include "send_slots.h"
 
 using namespace medlarwalk;
 
