--- a/src/agent_link.h
+++ b/src/agent_link.h
@@ -29,7 +29,7 @@
   bool sent() const override { return sent_; }
   // Has no effect: this process buffers what a slow caller has not read yet.
   // Agents are few and close by, so flow control is not needed.
-  void PauseRead(bool) override {}
+  void SetReadPaused(bool) override {}
   TimePoint idle_since() const override { return {}; }
   Duration keep_for() const override { return {}; }
 
--- a/src/base/errors.cc
+++ b/src/base/errors.cc
@@ -14,7 +14,7 @@
 // Retry-After. 409 reports a conflict: either of the idempotency key or of a
 // stale fencing number. 502 reports an upstream failure after the request may
 // have started.
-constexpr std::array<Answer, kErrorKindCount> kAnswers = {{
+constexpr std::array<ErrorAnswer, kErrorKindCount> kAnswers = {{
     {400, "bad_request", false, true},
     {403, "unknown_account", false, true},
     {403, "unknown_class", false, true},
@@ -69,17 +69,17 @@
 
 }  // namespace
 
-const Answer& AnswerFor(ErrorKind kind) {
+const ErrorAnswer& ErrorAnswerFor(ErrorKind kind) {
   return kAnswers[static_cast<size_t>(kind)];
 }
 
 absl::Status MakeError(ErrorKind kind, absl::string_view message) {
   absl::Status status(StatusCodeFor(kind), message);
-  status.SetPayload(kPayloadUrl, absl::Cord(AnswerFor(kind).code));
+  status.SetPayload(kPayloadUrl, absl::Cord(ErrorAnswerFor(kind).code));
   return status;
 }
 
-ErrorKind KindOf(const absl::Status& status) {
+ErrorKind ErrorKindOf(const absl::Status& status) {
   auto payload = status.GetPayload(kPayloadUrl);
   if (!payload) return ErrorKind::kInternal;
   return KindFromCode(std::string(*payload));
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -23,7 +23,7 @@
   explicit Metrics(absl::string_view role);
 
   // Counts one rejected request, by the code of its error kind.
-  void CountRefusal(absl::string_view reason);
+  void CountRejection(absl::string_view reason);
   // Counts one retry, by its reason (e.g. not_run, connection_lost).
   void CountRetry(absl::string_view reason);
   // Counts one finished request, by class and outcome ("ok" or a code).
@@ -39,16 +39,18 @@
   // Records the age of the upstream list when this process received it.
   void ObserveListAge(double seconds);
   // Records the duration of one loop iteration, without the wait for events.
-  void ObserveTurn(double seconds) { loop_iterations_->Observe(seconds); }
+  void ObserveLoopIteration(double seconds) {
+    loop_iterations_->Observe(seconds);
+  }
   // Counts one upstream that terminated while it had requests of this process,
   // by how the termination was detected.
-  void CountCrash(absl::string_view how);
+  void CountUpstreamTermination(absl::string_view how);
   // Counts one answer that states a rate limit of its upstream.
-  void CountLimitTold();
+  void CountStatedLimit();
   // Counts one answer that requests a backoff from this process.
-  void CountRest();
+  void CountRequestedBackoff();
   // Sets the number of upstreams whose stated rate limit is in force.
-  void SetLimited(size_t n);
+  void SetLimitedUpstreams(size_t n);
   // Sets the number of quarantined request fingerprints.
   void SetQuarantined(size_t n);
   // Sets the number of queued requests of `klass`.
@@ -88,7 +90,7 @@
     size_t watchers = 0;     // Data queued for processes that watch this one.
     size_t heap = 0;         // Total heap memory allocated by the program.
     // Memory that the allocator obtained from the kernel.
-    size_t heap_held = 0;
+    size_t heap_reserved = 0;
   };
   // The current state of the control process.
   struct State {
@@ -100,7 +102,7 @@
     size_t followers = 0;
     size_t quarantined = 0;  // Number of quarantined request fingerprints.
     // Seconds since the last synchronization with the leader; < 0: never.
-    double step_age_s = -1;
+    double in_sync_age_s = -1;
     // Seconds since the upstream list was read; < 0: never.
     double list_age_s = -1;
   };
@@ -110,16 +112,18 @@
                    double seconds);
   // Counts one answered watch, by the published content: a configuration, an
   // upstream list or nothing new.
-  void CountWatch(absl::string_view what);
+  void CountAnsweredWatch(absl::string_view what);
   // Counts one published upstream list and its size, by its form: "whole" or
   // "difference".
-  void CountListTold(absl::string_view how, size_t bytes);
+  void CountPublishedList(absl::string_view how, size_t bytes);
   // Counts one step of a duty, by its outcome.
   void CountDuty(absl::string_view step, absl::string_view outcome);
   // Records the duration of one loop iteration, without the wait for events.
-  void ObserveTurn(double seconds) { loop_iterations_->Observe(seconds); }
+  void ObserveLoopIteration(double seconds) {
+    loop_iterations_->Observe(seconds);
+  }
   // Sets the gauges of the process's state.
-  void Set(const State& s);
+  void SetState(const State& s);
   std::string Render() const;
 
  private:
--- a/src/base/request_print.h
+++ b/src/base/request_fingerprint.h
@@ -1,8 +1,8 @@
 // Fingerprint of a request: a hash of its target, account and body. A caller
 // that retries a request gives it a new id, but the fingerprint stays the same,
 // in every process and in every run.
-#ifndef MEDLARWALK_REQUEST_PRINT_H_
-#define MEDLARWALK_REQUEST_PRINT_H_
+#ifndef MEDLARWALK_REQUEST_FINGERPRINT_H_
+#define MEDLARWALK_REQUEST_FINGERPRINT_H_
 
 #include <cstdint>
 #include <string>
@@ -13,20 +13,21 @@
 
 namespace medlarwalk {
 
-using RequestPrint = uint64_t;
+using RequestFingerprint = uint64_t;
 
 // Returns the fingerprint of a request for `target` (path and query) with
 // `body` by client account `account` ("" if there is none). Thread safe.
-inline RequestPrint PrintOf(absl::string_view target, absl::string_view account,
-                            absl::string_view body) {
+inline RequestFingerprint ComputeFingerprint(absl::string_view target,
+                                             absl::string_view account,
+                                             absl::string_view body) {
   return StableHash(body, StableHash(account, StableHash(target)));
 }
 
 // Returns the fingerprint as logs show it: 16 hexadecimal digits.
-inline std::string PrintName(RequestPrint p) {
+inline std::string FingerprintToHex(RequestFingerprint p) {
   return absl::StrCat(absl::Hex(p, absl::kZeroPad16));
 }
 
 }  // namespace medlarwalk
 
-#endif  // MEDLARWALK_REQUEST_PRINT_H_
+#endif  // MEDLARWALK_REQUEST_FINGERPRINT_H_
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -74,7 +74,7 @@
 // Converts `seconds` from an untrusted source to a Duration, clamped to one
 // year in either direction: conversion of a value outside the range of Duration
 // is undefined. NaN becomes zero.
-inline Duration BoundedSeconds(double seconds) {
+inline Duration ClampedSeconds(double seconds) {
   constexpr double kYear = 365.0 * 24 * 3600;
   if (std::isnan(seconds)) return Duration::zero();
   return std::chrono::duration_cast<Duration>(
@@ -82,8 +82,8 @@
 }
 
 // Converts `ms` from an untrusted source to a Duration, clamped as in
-// BoundedSeconds().
-inline Duration BoundedMs(double ms) { return BoundedSeconds(ms / 1000); }
+// ClampedSeconds().
+inline Duration ClampedMs(double ms) { return ClampedSeconds(ms / 1000); }
 
 // Header fields in the order received, with names as the sender wrote them.
 using HeaderList = std::vector<std::pair<std::string, std::string>>;
--- a/src/control_wire.h
+++ b/src/control_wire.h
@@ -10,12 +10,12 @@
 
 #include "absl/status/statusor.h"
 #include "absl/strings/string_view.h"
-#include "limit_book.h"
 #include "nlohmann/json.hpp"
 #include "payload.h"
 #include "quarantine.h"
+#include "rate_limit_table.h"
 #include "upstream_list.h"
-#include "usage_book.h"
+#include "usage_table.h"
 
 namespace medlarwalk {
 
@@ -67,7 +67,7 @@
 struct WatchReply {
   // Time since the answering process was last known to be in sync with a
   // leader, in ms; negative if it never was.
-  int64_t age_ms = -1;
+  int64_t sync_age_ms = -1;
   int64_t config_version = 0;
   Document config;  // Null unless it is newer than the follower's version.
   // A ListChange; null if the follower holds the newest list.
@@ -85,11 +85,11 @@
   int64_t list_age_ms = -1;
   // Time between two reads of the upstream list, in ms.
   int64_t list_interval_ms = 0;
-  int serving = 0;  // Number of known processes that serve callers.
+  int serving_count = 0;  // Number of known processes that serve callers.
   // Index of the follower among the serving processes; negative if unknown. For
   // a control process, this is the index of the first serving process that
   // follows it.
-  int place = -1;
+  int serving_index = -1;
   // All known control processes; empty if the follower knows the same ones.
   std::vector<ControlEndpoint> control;
   std::string leader;  // Address of the leader; "" if unknown.
@@ -97,7 +97,7 @@
   int64_t unix_ms = 0;
   // Newest window for which its usage and that of all earlier windows is final;
   // 0 if there is none.
-  int64_t usage_fixed = 0;
+  int64_t usage_committed_through = 0;
 };
 
 // Encodes the addresses of the group's members. Members send them to seeds that
--- a/src/duty/duty_turn.h
+++ b/src/duty/duty_leadership.h
@@ -5,8 +5,8 @@
 // has at most one leader, so no two hosts ever use the same token. A new leader
 // waits until any previous holder must have stopped. Without this wait, quick
 // changes of leader would let hosts act in the order A, B, A within one lease.
-#ifndef MEDLARWALK_DUTY_TURN_H_
-#define MEDLARWALK_DUTY_TURN_H_
+#ifndef MEDLARWALK_DUTY_LEADERSHIP_H_
+#define MEDLARWALK_DUTY_LEADERSHIP_H_
 
 #include <cstdint>
 #include <optional>
@@ -15,7 +15,7 @@
 
 namespace medlarwalk {
 
-struct DutyTurnPolicy {
+struct DutyLeadershipPolicy {
   // Duration of the lease that the outside system grants a holder.
   Duration lease{};
   // Time added to the lease. It covers the time until a leader notices that it
@@ -30,7 +30,7 @@
 // Tracks this process's leadership. Thread safety: loop thread only.
 class DutyLeadership {
  public:
-  explicit DutyLeadership(DutyTurnPolicy policy) : policy_(policy) {}
+  explicit DutyLeadership(DutyLeadershipPolicy policy) : policy_(policy) {}
 
   // Records whether this process leads now, and the term. Call regularly.
   void UpdateLeadership(bool leads, uint64_t term, TimePoint now);
@@ -53,7 +53,7 @@
   bool refused() const { return refused_; }
 
  private:
-  DutyTurnPolicy policy_;
+  DutyLeadershipPolicy policy_;
   bool leads_ = false;
   uint64_t term_ = 0;
   TimePoint since_{};         // When the current leadership began.
@@ -64,4 +64,4 @@
 
 }  // namespace medlarwalk
 
-#endif  // MEDLARWALK_DUTY_TURN_H_
+#endif  // MEDLARWALK_DUTY_LEADERSHIP_H_
--- a/src/duty/duty_log.h
+++ b/src/duty/duty_log.h
@@ -27,7 +27,7 @@
   Document content;  // Never null.
   // All calls up to this sequence number were accepted, as far as the proposer
   // of the record knew.
-  int64_t done_through = 0;
+  int64_t accepted_through = 0;
 };
 
 // The committed records of all subjects. Thread safety: none.
@@ -36,9 +36,9 @@
   // The state of one subject.
   struct Subject {
     // The highest committed sequence number; 0: none yet.
-    int64_t fixed_through = 0;
+    int64_t committed_through = 0;
     // All calls up to this sequence number were accepted.
-    int64_t done_through = 0;
+    int64_t accepted_through = 0;
     // Contents by sequence number: committed, but not known to be accepted.
     std::map<int64_t, Document> open;
     // Returns the size of all contents in `open`, in bytes.
--- a/src/duty/usage_schedule.h
+++ b/src/duty/usage_schedule.h
@@ -12,7 +12,7 @@
 #include "absl/strings/string_view.h"
 #include "duty_log.h"
 #include "types.h"
-#include "usage_book.h"
+#include "usage_table.h"
 
 namespace medlarwalk {
 
@@ -47,7 +47,7 @@
 // could not distinguish a skipped report from a lost one. The exception is
 // windows older than the last `max_windows_behind`: they are skipped.
 std::optional<int64_t> WindowToCommit(const DutyLog::Subject& subject,
-                                      const UsageBook& book, int64_t unix_ms,
+                                      const UsageTable& table, int64_t unix_ms,
                                       const UsagePolicy& policy);
 
 // Encodes the content of a usage report, as CBOR.
--- a/src/gateway.h
+++ b/src/gateway.h
@@ -20,15 +20,15 @@
 #include "dialect.h"
 #include "errors.h"
 #include "event_stream.h"
-#include "limit_book.h"
-#include "limit_turns.h"
 #include "metrics.h"
 #include "placement.h"
 #include "prefill_limiter.h"
 #include "prefix_cache_index.h"
 #include "quarantine.h"
+#include "rate_limit_table.h"
 #include "retry_budget.h"
 #include "routing_config.h"
+#include "send_slots.h"
 #include "tier_admission.h"
 #include "upstream_link.h"
 #include "upstream_pool.h"
@@ -48,7 +48,7 @@
   // that are no longer counted but still running.
   double connection_share = 0.8;
   // Time for which the configuration counts as current after control last
-  // confirmed it (NoteInStep). Within this time, a request that the
+  // confirmed it (RecordConfigCurrent). Within this time, a request that the
   // configuration does not allow gets a final rejection; later, it waits for a
   // newer configuration. If zero, the rejection is always final.
   Duration config_trust{};
@@ -78,16 +78,16 @@
   void SetConfig(std::shared_ptr<const RoutingConfig> config);
   // Records that the configuration of this process was the newest one at
   // `as_of`.
-  void NoteInStep(TimePoint as_of);
+  void RecordConfigCurrent(TimePoint as_of);
   void SetUpstreams(absl::Span<const UpstreamInfo> upstreams);
   // Sets the number of entry processes that share the upstreams and the retry
   // budgets, and the index of this process among them (negative if unknown).
-  void SetServing(int entry_count, int index = -1);
+  void SetEntryCount(int entry_count, int index = -1);
   // Returns the quarantine of crash-inducing requests, which are not sent to
   // any upstream.
   Quarantine& quarantine() { return quarantine_; }
   // Returns the known rate limits that upstreams have announced.
-  const LimitBook& limits() const { return limits_; }
+  const RateLimitTable& limits() const { return limits_; }
   // Merges rate limits published by control.
   void MergeLimits(absl::Span<const LimitRecord> records);
   // Records a load report that did not come with an answer.
@@ -130,7 +130,7 @@
   void RecordBackoff(const Request& r, UpstreamState& u, Duration backoff);
   void ApplyLimitsToUpstreams();
   void ExpireLimits(TimePoint now);
-  TurnAsk SendSlotQueryFor(const UpstreamState& u, TimePoint now) const;
+  SendSlotQuery SendSlotQueryFor(const UpstreamState& u, TimePoint now) const;
   bool HasSendSlot(const UpstreamState& u, TimePoint now) const;
   void UseSendSlot(UpstreamState& u, TimePoint now);
   void CountAccountRun(Request& r);
@@ -180,7 +180,7 @@
   UpstreamPool pool_;
   CrashWatch crash_watch_;
   Quarantine quarantine_;
-  LimitBook limits_;
+  RateLimitTable limits_;
   uint64_t limit_changes_applied_ = 0;
   uint64_t quarantine_changes_seen_ = 0;
   PrefixCacheIndex prefix_cache_index_;
@@ -190,7 +190,7 @@
   // when the count was last set. A lower count is adopted only after a delay.
   // While control processes change, some entry processes are not counted for a
   // moment, and with the lower count this process would use too many slots.
-  TurnPlace send_slot_share_;
+  ProcessIndex process_index_;
   TimePoint send_slot_share_set_at_{};
   // Requests that wait for the first configuration or for a newer one.
   std::vector<uint64_t> awaiting_config_;
--- a/src/gateway_request.h
+++ b/src/gateway_request.h
@@ -32,7 +32,7 @@
   const RouteRule* route = nullptr;
   const ServiceRule* service = nullptr;
   std::string account;
-  RequestPrint fingerprint = 0;
+  RequestFingerprint fingerprint = 0;
   Tier tier = 0;
   // Priority, from the request's tier and then the account's tier.
   Tier rank = 0;
--- a/src/http1.h
+++ b/src/http1.h
@@ -29,22 +29,22 @@
   bool keep_alive = false;
   // Whether the sender can read a chunked answer; requests only, false for
   // HTTP/1.0.
-  bool reads_chunks = true;
+  bool accepts_chunked = true;
   std::optional<uint64_t> content_length;
 
   // Returns the first value of header `name` (case-insensitive), or nullptr.
   const std::string* Find(absl::string_view name) const;
   // Returns the first value of header `name` (case-insensitive) without
   // surrounding whitespace, or "" if the header is absent.
-  std::string Value(absl::string_view name) const;
+  std::string HeaderValue(absl::string_view name) const;
   // Returns the number of headers named `name` (case-insensitive).
-  int Count(absl::string_view name) const;
+  int CountHeaders(absl::string_view name) const;
 };
 
 // How the end of a message was detected. With kLength and kLastChunk the
 // message itself states its end; with kClose and kStreamEnd the end of the
 // connection or stream is the only evidence.
-enum class EndKnownBy {
+enum class EndDetection {
   kLength,     // The head states the length, or that there is no body.
   kLastChunk,  // The last chunk of a chunked body was received.
   kClose,      // The peer closed the connection in an orderly way.
@@ -52,7 +52,7 @@
 };
 
 // Returns the name of `by` for the log.
-absl::string_view EndName(EndKnownBy by);
+absl::string_view EndDetectionName(EndDetection by);
 
 // Callbacks that receive a parsed message. They must not destroy the parser.
 struct MessageSink {
@@ -91,7 +91,7 @@
   // Returns whether the message is delimited by the end of its connection.
   bool is_close_delimited() const;
   // Returns how the end of the message was detected. Precondition: done().
-  EndKnownBy end_known_by() const;
+  EndDetection end_detection() const;
   // Prepares for the next message. Precondition: done() or not started().
   void Reset();
   // States that the next answer has no body because it answers a HEAD request.
--- a/src/loop_watch.h
+++ b/src/loop_watch.h
@@ -27,7 +27,7 @@
   TimePoint iteration_started() const { return iteration_started_; }
   // Returns the duration of the longest iteration in the current and the
   // previous second, including the current iteration.
-  Duration longest() const;
+  Duration longest_iteration() const;
 
  private:
   static void OnCheck(struct ev_loop* loop, ev_check* w, int revents);
--- /dev/null
+++ b/src/native_api.h
@@ -0,0 +1,32 @@
+// Adapts the native API of medlarwalk to the types of the core: the API for
+// callers (OpenAI-style completions and plain services, with account and class
+// in headers), the settings file and the agents. This code makes no routing
+// decisions.
+#ifndef MEDLARWALK_NATIVE_API_H_
+#define MEDLARWALK_NATIVE_API_H_
+
+#include <memory>
+#include <string>
+
+#include "dialect.h"
+#include "routing_config.h"
+#include "settings.h"
+#include "upstream_list.h"
+
+namespace medlarwalk {
+
+// Returns the functions that read and write the messages of callers and agents.
+// Request ids begin with `entry`. Precondition: *settings has been validated.
+Dialect NativeApiDialect(std::shared_ptr<const Settings> settings,
+                         const std::string& entry);
+
+// Returns the routes from every class to every model and plain service.
+// Engines that serve the same set of models form one service.
+RoutingConfig RoutingFromSettings(const Settings& settings);
+
+// Returns the upstreams declared in the settings, none of them draining.
+std::vector<UpstreamInfo> UpstreamsFromSettings(const Settings& settings);
+
+}  // namespace medlarwalk
+
+#endif  // MEDLARWALK_NATIVE_API_H_
--- a/src/policy/quarantine.h
+++ b/src/policy/quarantine.h
@@ -22,8 +22,8 @@
 
 #include "absl/strings/string_view.h"
 #include "absl/types/span.h"
-#include "change_reports.h"
-#include "request_print.h"
+#include "report_tracker.h"
+#include "request_fingerprint.h"
 #include "types.h"
 
 namespace medlarwalk {
@@ -34,7 +34,7 @@
   TimePoint sent_at{};    // When the request was sent to the upstream.
   TimePoint at{};         // When the upstream terminated.
   // The request had just started on the upstream, as far as known.
-  bool just_begun = false;
+  bool just_started = false;
   // The request did not cause this crash. Either it was served later, or
   // another upstream that did not have the request terminated at the same
   // moment.
@@ -43,7 +43,7 @@
 
 // The crashes at which one request was in flight.
 struct CrashRecord {
-  RequestPrint asks = 0;  // Fingerprint of the request.
+  RequestFingerprint fingerprint = 0;
   std::vector<Crash> crashes;
 };
 
@@ -77,7 +77,7 @@
 // Returns the requests that explain the crashes in `all`, the request with the
 // most crashes first. Each has at least `policy.min_crashes` crashes that the
 // requests before it in the result do not explain.
-std::vector<RequestPrint> FindCrashInducingRequests(
+std::vector<RequestFingerprint> FindCrashInducingRequests(
     absl::Span<const CrashRecord> all, const QuarantinePolicy& policy);
 
 // Collects crash records and decides which requests are quarantined. Thread
@@ -88,30 +88,31 @@
 
   // Records that `upstream` terminated while it had the request with
   // `fingerprint` in flight. Sets `crash.upstream` from `upstream`.
-  void NoteCrash(RequestPrint fingerprint, absl::string_view upstream,
-                 Crash crash);
+  void RecordCrash(RequestFingerprint fingerprint, absl::string_view upstream,
+                   Crash crash);
   // Records that the request was served, which clears all its crashes so far.
-  void NoteServed(RequestPrint fingerprint);
+  void RecordServed(RequestFingerprint fingerprint);
   // Merges records that other processes report to this one. These records are
   // forwarded: ChangedSince returns them.
-  void TakeReported(absl::Span<const CrashRecord> records);
+  void MergeReported(absl::Span<const CrashRecord> records);
   // Merges records published by the process to which this one reports. They are
   // not reported back to it.
-  void TakeTold(absl::Span<const CrashRecord> records);
+  void MergePublished(absl::Span<const CrashRecord> records);
   // Drops expired records. Call regularly.
   void Tick(TimePoint now);
 
   // Whether the request is quarantined: it must not be sent to any upstream.
-  bool Refuses(RequestPrint fingerprint) const {
+  bool IsQuarantined(RequestFingerprint fingerprint) const {
     return quarantined_.count(fingerprint) > 0;
   }
   // Returns the time from `now` until the request's record expires.
-  Duration RemainingQuarantine(RequestPrint fingerprint, TimePoint now) const;
+  Duration RemainingQuarantine(RequestFingerprint fingerprint,
+                               TimePoint now) const;
   // Returns a counter that increases whenever a request enters or leaves the
   // quarantine.
-  uint64_t verdicts() const { return quarantine_changes_; }
+  uint64_t quarantine_changes() const { return quarantine_changes_; }
   // Returns the number of quarantined requests.
-  size_t refused() const { return quarantined_.size(); }
+  size_t quarantined_count() const { return quarantined_.size(); }
 
   // Returns the sequence number of the last change that this process recorded
   // or that another process reported to it.
@@ -121,8 +122,8 @@
   std::vector<CrashRecord> ChangedSince(uint64_t seq, size_t max_records) const;
   // Returns the records to publish to all processes: those with more than one
   // crash, sorted by fingerprint.
-  std::vector<CrashRecord> Shared() const;
-  // Returns a hash of the contents of Shared(); 0 if it is empty.
+  std::vector<CrashRecord> RecordsToPublish() const;
+  // Returns a hash of the contents of RecordsToPublish(); 0 if it is empty.
   int64_t version() const { return version_; }
 
  private:
@@ -143,24 +144,24 @@
   void EvictExcessRecords();
   // Recomputes the set of quarantined requests and the published version.
   void UpdateQuarantine();
-  void SetQuarantined(absl::Span<const RequestPrint> fingerprints);
+  void SetQuarantined(absl::Span<const RequestFingerprint> fingerprints);
   // Returns the records with more than one crash.
   std::vector<CrashRecord> RecordsWithRepeatedCrashes() const;
 
   QuarantinePolicy policy_;
-  std::unordered_map<RequestPrint, Entry> entries_;
+  std::unordered_map<RequestFingerprint, Entry> entries_;
   // First reported termination time of each upstream, by upstream hash.
   std::map<uint64_t, TimePoint> terminated_at_;
   // Upstream hashes by termination time.
   std::multimap<TimePoint, uint64_t> terminations_;
-  std::set<RequestPrint> quarantined_;
+  std::set<RequestFingerprint> quarantined_;
   uint64_t quarantine_changes_ = 0;
   uint64_t seq_ = 0;
   int64_t version_ = 0;
   TimePoint last_expiry_at_{};  // When expired records were last dropped.
 };
 
-using CrashReports = ChangeReports<Quarantine>;
+using CrashReportTracker = ReportTracker<Quarantine>;
 
 }  // namespace medlarwalk
 
--- a/src/policy/limit_book.h
+++ b/src/policy/rate_limit_table.h
@@ -7,8 +7,8 @@
 // limit until then, and would send too little for as long after the limit has
 // ended. Therefore a process reports a changed limit at once, and every process
 // uses the newest limit that any process has received.
-#ifndef MEDLARWALK_LIMIT_BOOK_H_
-#define MEDLARWALK_LIMIT_BOOK_H_
+#ifndef MEDLARWALK_RATE_LIMIT_TABLE_H_
+#define MEDLARWALK_RATE_LIMIT_TABLE_H_
 
 #include <cstdint>
 #include <functional>
@@ -18,7 +18,7 @@
 #include <vector>
 
 #include "absl/types/span.h"
-#include "change_reports.h"
+#include "report_tracker.h"
 #include "types.h"
 
 namespace medlarwalk {
@@ -33,23 +33,23 @@
 };
 
 // The known limits, by upstream. Thread safety: loop thread only.
-class LimitBook {
+class RateLimitTable {
  public:
   // Records that an answer of `upstream` announces the limit `per_s`, or no
   // limit. Returns whether the limit changed.
-  bool Note(const std::string& upstream, std::optional<double> per_s,
-            TimePoint now);
+  bool RecordLimit(const std::string& upstream, std::optional<double> per_s,
+                   TimePoint now);
   // Merges records that other processes report to this one. The newest record
   // of each upstream wins, in whatever order and however often records arrive.
   // Merged changes are forwarded: ChangedSince returns them.
-  void TakeReported(absl::Span<const LimitRecord> records);
+  void MergeReported(absl::Span<const LimitRecord> records);
   // Merges records published by the process to which this one reports. They are
   // not reported back to it.
-  void TakeTold(absl::Span<const LimitRecord> records);
+  void MergePublished(absl::Span<const LimitRecord> records);
   // Removes the records of lifted limits and of upstreams that are not listed,
   // once these records are old enough.
-  void Keep(const std::function<bool(const std::string&)>& listed,
-            TimePoint now);
+  void RemoveStaleLimits(const std::function<bool(const std::string&)>& listed,
+                         TimePoint now);
 
   // Returns the upstream's limit in force, or nullptr if it has none.
   const LimitRecord* Find(const std::string& upstream) const;
@@ -57,7 +57,7 @@
   // upstream.
   std::vector<LimitRecord> All() const;
   // Returns the number of limits in force.
-  size_t in_force() const;
+  size_t limits_in_force() const;
   // Returns a hash of the contents of All(); 0 if it is empty.
   int64_t version() const { return version_; }
   // Returns a counter that increases with every change, whether recorded here,
@@ -88,8 +88,8 @@
   uint64_t seq_ = 0;
 };
 
-using LimitReports = ChangeReports<LimitBook>;
+using LimitReportTracker = ReportTracker<RateLimitTable>;
 
 }  // namespace medlarwalk
 
-#endif  // MEDLARWALK_LIMIT_BOOK_H_
+#endif  // MEDLARWALK_RATE_LIMIT_TABLE_H_
--- a/src/policy/change_reports.h
+++ b/src/policy/report_tracker.h
@@ -2,8 +2,8 @@
 // receives the reports (the target). The source numbers its changes: seq()
 // returns the number of its last change, and ChangedSince(seq, max_records)
 // returns at most `max_records` records that changed after `seq`.
-#ifndef MEDLARWALK_CHANGE_REPORTS_H_
-#define MEDLARWALK_CHANGE_REPORTS_H_
+#ifndef MEDLARWALK_REPORT_TRACKER_H_
+#define MEDLARWALK_REPORT_TRACKER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -14,26 +14,26 @@
 // Reports of one source to one target at a time. Thread safety: loop thread
 // only.
 template <typename Source>
-class ChangeReports {
+class ReportTracker {
  public:
   // Precondition: `source` outlives this.
-  explicit ChangeReports(const Source& source) : source_(source) {}
+  explicit ReportTracker(const Source& source) : source_(source) {}
 
   // Returns the records to report to `target` next: those that `target` has not
   // confirmed.
-  auto For(const std::string& target) {
+  auto RecordsToReport(const std::string& target) {
     if (target != target_) confirmed_ = 0;
     target_ = target;
     sent_ = source_.seq();
     return source_.ChangedSince(confirmed_, kMaxRecordsPerReport);
   }
   // Records that the target has received the last report.
-  void Confirmed() { confirmed_ = sent_; }
+  void OnDelivered() { confirmed_ = sent_; }
   // Records that the target failed. It may have lost all earlier reports, so
   // the next report contains all records again.
-  void Lost() { confirmed_ = 0; }
+  void OnTargetLost() { confirmed_ = 0; }
   // Returns whether records have changed since the last report.
-  bool waiting() const { return source_.seq() > sent_; }
+  bool has_unreported() const { return source_.seq() > sent_; }
 
  private:
   // Maximum number of records in one report: enough for the crash of a whole
@@ -48,4 +48,4 @@
 
 }  // namespace medlarwalk
 
-#endif  // MEDLARWALK_CHANGE_REPORTS_H_
+#endif  // MEDLARWALK_REPORT_TRACKER_H_
--- a/src/policy/routing_config.h
+++ b/src/policy/routing_config.h
@@ -19,7 +19,7 @@
 // Whether the requests of a route may run more than once.
 enum class RequestKind {
   kRepeatable,  // A request may run more than once.
-  kOnce,        // A request runs at most once per caller attempt.
+  kAtMostOnce,  // A request runs at most once per caller attempt.
   kStream,      // Event stream; runs at most once unless resumable.
 };
 
@@ -35,7 +35,7 @@
   std::string name;
   std::string host;
   std::string path_prefix;  // Begins and ends with a slash.
-  RequestKind kind = RequestKind::kOnce;
+  RequestKind kind = RequestKind::kAtMostOnce;
   Duration timeout{};           // Time until the final answer.
   Duration latency_target{};    // For streams: time until the first event.
   Duration event_gap_target{};  // For streams: longest gap between events.
@@ -72,7 +72,7 @@
   std::map<std::string, ServiceRule> services;
   std::vector<AccountRule> accounts;
   CallerLimits limits;
-  // Lookup tables derived by IndexConfig.
+  // Lookup tables derived by BuildConfigIndexes.
   std::unordered_map<std::string, size_t> account_of_key;
   std::unordered_map<std::string, std::vector<size_t>> routes_of_host;
   std::map<Tier, int> engine_priority;  // Engine priority by request rank.
@@ -84,7 +84,7 @@
 absl::Status ValidateConfig(const RoutingConfig& c);
 
 // Fills the derived lookup tables. Precondition: ValidateConfig(*c) is Ok.
-void IndexConfig(RoutingConfig* c);
+void BuildConfigIndexes(RoutingConfig* c);
 
 // Returns the route of `host` with the longest path prefix that matches `path`,
 // or nullptr. A port in `host` is ignored.
@@ -98,12 +98,12 @@
 // ranked by the tier of their route, then by the tier of their account: batch
 // work of a preferred account must not delay or displace interactive requests
 // of another account.
-Tier RankOf(Tier route_tier, Tier account_tier);
+Tier RequestRank(Tier route_tier, Tier account_tier);
 
 // Returns the priority to send to engines for `rank`, from 0 (highest) to 9, in
 // the order of the ranks that occur in the configuration. If there are more
 // ranks than priorities, the tiers of accounts are ignored. Precondition:
-// IndexConfig has run.
+// BuildConfigIndexes has run.
 int EnginePriority(const RoutingConfig& c, Tier rank);
 
 // Chooses a service of the route at random by weight; `draw` is uniform in [0,
--- a/src/policy/limit_turns.h
+++ b/src/policy/send_slots.h
@@ -10,8 +10,8 @@
 // processes share: slot k begins at k / limit, and the slots are assigned to
 // the processes round-robin. One request may be sent in a slot, shortly after
 // the slot begins.
-#ifndef MEDLARWALK_LIMIT_TURNS_H_
-#define MEDLARWALK_LIMIT_TURNS_H_
+#ifndef MEDLARWALK_SEND_SLOTS_H_
+#define MEDLARWALK_SEND_SLOTS_H_
 
 #include <cstdint>
 #include <optional>
@@ -22,16 +22,16 @@
 namespace medlarwalk {
 
 // The index of this process among the processes that share upstreams.
-struct TurnPlace {
-  int serving = 1;  // Number of processes that share upstreams.
-  int place = 0;    // Index from 0 to serving - 1, unique to this process.
+struct ProcessIndex {
+  int process_count = 1;  // Number of processes that share upstreams.
+  int index = 0;  // Index from 0 to process_count - 1, unique to this process.
 };
 
 // Identifies the send slots of one upstream that belong to one process.
-struct TurnAsk {
+struct SendSlotQuery {
   absl::string_view upstream;
   double per_s = 1;  // Rate limit of the upstream, in requests per second.
-  TurnPlace process;
+  ProcessIndex process;
   // Current time on the clock that all processes share; its epoch does not
   // matter.
   Millis time{};
@@ -40,13 +40,14 @@
 // Returns the start of the earliest open slot after the last used one, which
 // began at `taken` (nullopt: no slot used yet). Returns nullopt if no slot is
 // open.
-std::optional<Millis> OpenTurn(const TurnAsk& ask, std::optional<Millis> taken);
+std::optional<Millis> FindOpenSendSlot(const SendSlotQuery& query,
+                                       std::optional<Millis> taken);
 
 // Returns whether an upstream that has announced limits since `since` may
 // receive requests yet. All processes exceeded the limit until it was
 // announced, so the upstream first gets time to process the excess requests.
-bool TurnsHaveBegun(TimePoint since, TimePoint now);
+bool InitialHoldElapsed(TimePoint since, TimePoint now);
 
 }  // namespace medlarwalk
 
-#endif  // MEDLARWALK_LIMIT_TURNS_H_
+#endif  // MEDLARWALK_SEND_SLOTS_H_
--- a/src/upstream_link.h
+++ b/src/upstream_link.h
@@ -27,10 +27,10 @@
 
 // How a call ended.
 enum class CallEnd {
-  kWhole,      // The answer is complete.
-  kNotSent,    // No byte of the request left this process.
-  kNoAnswer,   // Request sent at least in part; no answer's head arrived.
-  kBrokenOff,  // The answer ended after its head but before its end.
+  kWhole,        // The answer is complete.
+  kNotSent,      // No byte of the request left this process.
+  kNoAnswer,     // Request sent at least in part; no answer's head arrived.
+  kInterrupted,  // The answer ended after its head but before its end.
 };
 
 // One call. Callbacks run on the loop thread, may run inside Start, and may
@@ -70,7 +70,7 @@
   // Returns whether any byte of the current call was written.
   virtual bool sent() const = 0;
   // Pauses or resumes reading the answer while the caller reads slowly.
-  virtual void PauseRead(bool paused) = 0;
+  virtual void SetReadPaused(bool paused) = 0;
   // Returns the time when the link became idle.
   virtual TimePoint idle_since() const = 0;
   // Returns how long the link may stay idle.
--- a/src/usage_reporter.h
+++ b/src/usage_reporter.h
@@ -13,13 +13,13 @@
 #include <string>
 
 #include "control_wire.h"
-#include "duty_turn.h"
+#include "duty_leadership.h"
 #include "group_time.h"
 #include "http1_client.h"
 #include "metrics.h"
 #include "replica.h"
-#include "usage_book.h"
 #include "usage_schedule.h"
+#include "usage_table.h"
 
 namespace medlarwalk {
 
@@ -38,10 +38,11 @@
 
 // The destination of reports and their format.
 struct UsageOptions {
-  std::string name;     // Name of this process's host, as the duty holder.
-  Endpoint at;          // Address of the outside system.
-  UsagePolicy policy;   // If its window is 0, this process reports no usage.
-  DutyTurnPolicy turn;  // Rules for when this process may hold the duty.
+  std::string name;    // Name of this process's host, as the duty holder.
+  Endpoint endpoint;   // Address of the outside system.
+  UsagePolicy policy;  // If its window is 0, this process reports no usage.
+  DutyLeadershipPolicy
+      leadership;  // Rules for when this process may hold the duty.
   // Duty calls per second that the outside system accepts from all processes
   // together; 0 if unlimited.
   double calls_per_s = 0;
@@ -50,7 +51,7 @@
                                 const UsageCounts&, std::string* body)>
       encode;
   // Interprets the HTTP status of an answer.
-  std::function<DutyAnswer(int status)> read;
+  std::function<DutyAnswer(int status)> interpret_status;
 };
 
 // Collects, commits and sends usage reports. Thread safety: loop thread only.
@@ -66,16 +67,16 @@
 
   // Records the wall clock time and the counts that a follower reports with its
   // watch.
-  void TakeReport(const WatchRequest& r);
+  void MergeFollowerReport(const WatchRequest& r);
   // Records the group's time and the committed window published by the process
   // that this one follows. Precondition: that process is up to date with a
   // leader.
-  void TakeTold(const WatchReply& r);
+  void MergePublished(const WatchReply& r);
   // Sets the group's time and the committed window in `r`, for followers.
-  void Fill(WatchReply* r) const;
+  void FillReply(WatchReply* r) const;
   // Does all due work. Call regularly.
   void Tick();
-  const UsageBook& book() const { return book_; }
+  const UsageTable& usage_table() const { return usage_table_; }
 
  private:
   bool reports_usage() const {
@@ -105,7 +106,7 @@
   std::function<Replica*()> replica_;
   ControlMetrics& metrics_;
   GroupTime group_time_;
-  UsageBook book_;
+  UsageTable usage_table_;
   DutyLeadership leadership_;
   UsageDeliveries deliveries_;
   // Newest committed window known to this process.
--- a/test/answer_end_test.cc
+++ b/test/answer_end_test.cc
@@ -162,7 +162,7 @@
       for (Ending ending : {Ending::kClose, Ending::kReset}) {
         CallResult cut = CallOverHttp1(loop, answer.substr(0, length), ending);
         CHECK_TRUE_TEXT(
-            cut.end == CallEnd::kBrokenOff || cut.end == CallEnd::kNoAnswer,
+            cut.end == CallEnd::kInterrupted || cut.end == CallEnd::kNoAnswer,
             absl::StrCat("cut after ", length, " bytes").c_str());
       }
     }
@@ -176,8 +176,8 @@
 
 TEST(answer_end, LastChunkMarksTheEnd) {
   CheckEveryTruncation(
-      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-      "5\r\ndata:\r\n4\r\n a\n\n\r\n0\r\n\r\n",
+      "HTTP/1.1 200 OK\r\nTransfer-Encoding: "
+      "chunked\r\n\r\n5\r\ndata:\r\n4\r\n a\n\n\r\n0\r\n\r\n",
       9, "last_chunk");
 }
 
@@ -225,7 +225,7 @@
   CallResult result =
       CallOverHttp2(loop, kH2AnswerHead + Frame(0, 0, 1, "data: a\n\n") + reset,
                     Ending::kStay);
-  CHECK_TRUE(result.end == CallEnd::kBrokenOff);
+  CHECK_TRUE(result.end == CallEnd::kInterrupted);
 }
 
 // Guards against relaying a stream as complete that the engine did not finish.
@@ -236,7 +236,7 @@
 // its connection closes.
 TEST(answer_end, StreamWithAShortFirstPieceIsRecognized) {
   BootClock clock;
-  int base = FreeBase();
+  int base = ClaimPortRange();
   Settings settings = *ParseSettings(DefaultSettingsJson(base));
   const UpstreamSettings* engine = settings.FindUpstream("ledgerhand-1");
   const HostSettings* host = settings.FindHost(engine->agent);
--- a/test/duty/duty_test.cc
+++ b/test/duty/duty_test.cc
@@ -5,13 +5,13 @@
 #include <random>
 
 #include "CppUTest/TestHarness.h"
+#include "duty_leadership.h"
 #include "duty_log.h"
-#include "duty_turn.h"
 #include "group_time.h"
-#include "platform/test/usage_judge.h"
+#include "platform/test/usage_report_checker.h"
 #include "test/replica_group.h"
-#include "usage_book.h"
 #include "usage_schedule.h"
+#include "usage_table.h"
 
 using namespace medlarwalk;
 using namespace medlarwalk::testing;
@@ -44,14 +44,14 @@
   CHECK_FALSE(log.Apply({"usage", 7, Content("b"), 0}));
   CHECK_FALSE(log.Apply({"usage", 6, Content("c"), 0}));
   const DutyLog::Subject& s = log.FindSubject("usage");
-  LONGS_EQUAL(7, s.fixed_through);
+  LONGS_EQUAL(7, s.committed_through);
   LONGS_EQUAL(1, static_cast<long>(s.open.size()));
   STRCMP_EQUAL("a", s.open.at(7)->c_str());
   // Accepted contents are removed; the contents of other subjects stay.
   log.Apply({"scale", 1, Content("x"), 0});
   log.Apply({"usage", 8, Content("d"), 7});
   LONGS_EQUAL(1, static_cast<long>(log.FindSubject("usage").open.size()));
-  LONGS_EQUAL(1, log.FindSubject("scale").fixed_through);
+  LONGS_EQUAL(1, log.FindSubject("scale").committed_through);
 }
 
 // Guards against unbounded growth of the log while the platform is unreachable
@@ -66,7 +66,7 @@
 // Guards against calls by hosts in the order A, B, A within one lease. Host A
 // leads, B takes over and A leads again, all within a second.
 TEST(duty, NewLeaderWaitsForPreviousHolderToStop) {
-  DutyTurnPolicy p;
+  DutyLeadershipPolicy p;
   p.lease = 3 * kSecond;
   DutyLeadership leadership(p);
   TimePoint now{};
@@ -90,7 +90,7 @@
 // leadership. The process requests a confirmation, is frozen, and receives the
 // confirmation when it resumes.
 TEST(duty, IgnoresOutdatedConfirmation) {
-  DutyTurnPolicy p;
+  DutyLeadershipPolicy p;
   p.lease = kSecond;
   DutyLeadership leadership(p);
   TimePoint now{};
@@ -106,7 +106,7 @@
 }
 
 TEST(duty, DoesNotReuseRefusedToken) {
-  DutyTurnPolicy p;
+  DutyLeadershipPolicy p;
   DutyLeadership leadership(p);
   TimePoint now{};
   now += kSecond;
@@ -132,18 +132,18 @@
   const int64_t kUnix = 1'000'000'000;
   auto record_samples = [&](int64_t jump) {
     for (int host = 0; host < 7; ++host) {
-      t.NoteSample(
+      t.RecordSample(
           std::to_string(host),
           kUnix + ToMs(now.time_since_epoch()) + host + (host < 3 ? jump : 0),
           now);
     }
   };
   record_samples(0);
-  int64_t before = *t.UnixMs(now) - ToMs(now.time_since_epoch());
+  int64_t before = *t.UnixMsAt(now) - ToMs(now.time_since_epoch());
   for (int64_t jump : {2000, -2000, 0}) {
     now += kSecond;
     record_samples(jump);
-    int64_t after = *t.UnixMs(now) - ToMs(now.time_since_epoch());
+    int64_t after = *t.UnixMsAt(now) - ToMs(now.time_since_epoch());
     CHECK_TRUE(std::abs(after - before) <= 3);
   }
 }
@@ -154,16 +154,16 @@
   GroupTime t;
   TimePoint now{};
   now += 100 * kSecond;
-  t.NoteSample("self", 5, now);
+  t.RecordSample("self", 5, now);
   const int64_t kUnix = 1'000'000'000;
   auto true_ms = [&] { return kUnix + ToMs(now.time_since_epoch()); };
-  t.NoteTold(true_ms() - 1, now);
+  t.RecordReceivedTime(true_ms() - 1, now);
   now += kSecond;
-  t.NoteTold(true_ms() - 600, now);
-  LONGS_EQUAL(true_ms() - 1, *t.UnixMs(now));
+  t.RecordReceivedTime(true_ms() - 600, now);
+  LONGS_EQUAL(true_ms() - 1, *t.UnixMsAt(now));
   // Without updates from control the group's time keeps advancing.
   now += 60 * kSecond;
-  LONGS_EQUAL(true_ms() - 1, *t.UnixMs(now));
+  LONGS_EQUAL(true_ms() - 1, *t.UnixMsAt(now));
 }
 
 // A new leader keeps the time that it received as a follower until it has
@@ -174,34 +174,34 @@
   now += 100 * kSecond;
   const int64_t kUnix = 1'000'000'000;
   auto true_ms = [&] { return kUnix + ToMs(now.time_since_epoch()); };
-  t.NoteTold(true_ms(), now);
-  t.NoteSample("self", true_ms() + 2000, now);
-  LONGS_EQUAL(true_ms(), *t.UnixMs(now));
+  t.RecordReceivedTime(true_ms(), now);
+  t.RecordSample("self", true_ms() + 2000, now);
+  LONGS_EQUAL(true_ms(), *t.UnixMsAt(now));
   now += 3 * kSecond;
-  t.NoteSample("self", true_ms() + 2000, now);
-  t.NoteSample("a", true_ms(), now);
-  t.NoteSample("b", true_ms(), now);
-  LONGS_EQUAL(true_ms(), *t.UnixMs(now));
+  t.RecordSample("self", true_ms() + 2000, now);
+  t.RecordSample("a", true_ms(), now);
+  t.RecordSample("b", true_ms(), now);
+  LONGS_EQUAL(true_ms(), *t.UnixMsAt(now));
 }
 
 // Guards against requests that are counted twice. An entry reports the same
 // counts twice, or through a second process after the first one failed.
 TEST(duty, MergesCountsByMaximum) {
-  UsageBook entry;
-  for (int i = 0; i < 3; ++i) entry.Count(1, 10, "a");
-  entry.Count(1, 11, "a");
-  UsageBook left;
-  UsageBook right;
-  UsageBook leader;
-  UsageReports reports(entry, Duration::zero());
+  UsageTable entry;
+  for (int i = 0; i < 3; ++i) entry.CountRequest(1, 10, "a");
+  entry.CountRequest(1, 11, "a");
+  UsageTable left;
+  UsageTable right;
+  UsageTable leader;
+  UsageReportTracker reports(entry, Duration::zero());
   TimePoint now{};
-  left.MergeRecords(reports.For("left", now));
-  entry.Count(1, 10, "a");
+  left.MergeRecords(reports.RecordsToReport("left", now));
+  entry.CountRequest(1, 10, "a");
   // The process `left` fails before it answers, so `right` gets all records.
-  reports.Lost();
-  right.MergeRecords(reports.For("right", now));
-  reports.Confirmed();
-  CHECK_TRUE(reports.For("right", now).empty());
+  reports.OnTargetLost();
+  right.MergeRecords(reports.RecordsToReport("right", now));
+  reports.OnDelivered();
+  CHECK_TRUE(reports.RecordsToReport("right", now).empty());
   uint64_t through = 0;
   leader.MergeRecords(right.ChangedSince(0, 100, &through));
   leader.MergeRecords(left.ChangedSince(0, 100, &through));
@@ -217,32 +217,32 @@
 // Guards against counts that grow after their window was committed, and against
 // memory use that grows with the number of requests.
 TEST(duty, DropsCommittedWindows) {
-  UsageBook book(4);
-  for (int i = 0; i < 1000; ++i) book.Count(1, 10, "a");
-  LONGS_EQUAL(1, static_cast<long>(book.size()));
-  book.DropThrough(10);
-  book.Count(1, 10, "a");
-  LONGS_EQUAL(0, static_cast<long>(book.size()));
-  for (int64_t w = 11; w < 30; ++w) book.Count(1, w, "a");
-  LONGS_EQUAL(4, static_cast<long>(book.size()));
+  UsageTable table(4);
+  for (int i = 0; i < 1000; ++i) table.CountRequest(1, 10, "a");
+  LONGS_EQUAL(1, static_cast<long>(table.size()));
+  table.DropThrough(10);
+  table.CountRequest(1, 10, "a");
+  LONGS_EQUAL(0, static_cast<long>(table.size()));
+  for (int64_t w = 11; w < 30; ++w) table.CountRequest(1, w, "a");
+  LONGS_EQUAL(4, static_cast<long>(table.size()));
   uint64_t through = 0;
-  LONGS_EQUAL(4, static_cast<long>(book.ChangedSince(0, 9, &through).size()));
+  LONGS_EQUAL(4, static_cast<long>(table.ChangedSince(0, 9, &through).size()));
 }
 
 // All records are reported, in reports of limited size that are at least the
 // minimum interval apart.
 TEST(duty, ReportsCountsInParts) {
-  UsageBook entry;
-  UsageBook control;
-  for (int a = 0; a < 5000; ++a) entry.Count(1, 10, std::to_string(a));
-  UsageReports reports(entry, Millis(800));
+  UsageTable entry;
+  UsageTable control;
+  for (int a = 0; a < 5000; ++a) entry.CountRequest(1, 10, std::to_string(a));
+  UsageReportTracker reports(entry, Millis(800));
   TimePoint now{};
   now += kSecond;
   for (int i = 0; i < 10; ++i) {
-    control.MergeRecords(reports.For("c", now));
-    reports.Confirmed();
-    CHECK_TRUE(reports.For("c", now + Millis(100)).empty());
-    reports.Confirmed();
+    control.MergeRecords(reports.RecordsToReport("c", now));
+    reports.OnDelivered();
+    CHECK_TRUE(reports.RecordsToReport("c", now + Millis(100)).empty());
+    reports.OnDelivered();
     now += kSecond;
   }
   LONGS_EQUAL(5000, static_cast<long>(control.SumByAccount(10).size()));
@@ -253,16 +253,16 @@
 TEST(duty, CommitsWindowsWithoutGaps) {
   UsagePolicy p = FiveSecondWindows();
   DutyLog::Subject s;
-  UsageBook book;
-  CHECK_FALSE(WindowToCommit(s, book, 1'000'000, p).has_value());
-  book.Count(1, 200, "a");
-  CHECK_FALSE(WindowToCommit(s, book, 1'007'499, p).has_value());
-  LONGS_EQUAL(200, *WindowToCommit(s, book, 1'007'500, p));
-  s.fixed_through = 200;
-  CHECK_FALSE(WindowToCommit(s, book, 1'007'500, p).has_value());
-  LONGS_EQUAL(201, *WindowToCommit(s, book, 1'099'000, p));
+  UsageTable table;
+  CHECK_FALSE(WindowToCommit(s, table, 1'000'000, p).has_value());
+  table.CountRequest(1, 200, "a");
+  CHECK_FALSE(WindowToCommit(s, table, 1'007'499, p).has_value());
+  LONGS_EQUAL(200, *WindowToCommit(s, table, 1'007'500, p));
+  s.committed_through = 200;
+  CHECK_FALSE(WindowToCommit(s, table, 1'007'500, p).has_value());
+  LONGS_EQUAL(201, *WindowToCommit(s, table, 1'099'000, p));
   LONGS_EQUAL(400 - p.max_windows_behind,
-              *WindowToCommit(s, book, 2'000'000, p));
+              *WindowToCommit(s, table, 2'000'000, p));
 }
 
 // An unanswered report is sent again with growing delays and does not delay the
@@ -306,7 +306,7 @@
   explicit ReportingGroup(uint64_t seed)
       // The log is compacted often, so that returning replicas get a snapshot.
       : group(5, seed, CompactingOptions()),
-        judge(LeadershipPolicy().lease),
+        checker(LeadershipPolicy().lease),
         random_(seed) {
     for (int i = 0; i < group.size(); ++i) hosts_.emplace_back();
     first_window_ = CurrentWindow();
@@ -316,7 +316,7 @@
     group.Run(Millis(20));
     TimePoint now = group.clock.Now();
     while (!delayed_calls_.empty() && delayed_calls_.begin()->first <= now) {
-      judge.CarryOut(delayed_calls_.begin()->second);
+      checker.CarryOut(delayed_calls_.begin()->second);
       delayed_calls_.erase(delayed_calls_.begin());
     }
     for (int i = 0; i < group.size(); ++i) {
@@ -334,8 +334,8 @@
                     FiveSecondWindows());
   }
 
-  Group group;
-  UsageJudge judge;
+  ReplicaGroup group;
+  UsageReportChecker checker;
   bool no_faults = false;  // The platform answers every call at once.
 
  private:
@@ -349,8 +349,8 @@
     o.compact_entries = 6;
     return o;
   }
-  static DutyTurnPolicy LeadershipPolicy() {
-    DutyTurnPolicy p;
+  static DutyLeadershipPolicy LeadershipPolicy() {
+    DutyLeadershipPolicy p;
     p.lease = 3 * kSecond;
     return p;
   }
@@ -362,8 +362,8 @@
     h.leadership.UpdateLeadership(leads, r->term(), now);
     if (!leads) return;
     const DutyLog::Subject& s = r->duties().FindSubject(kUsageSubject);
-    UsageBook usage;
-    usage.Count(1, first_window_, "a");
+    UsageTable usage;
+    usage.CountRequest(1, first_window_, "a");
     std::optional<int64_t> due = WindowToCommit(
         s, usage, ToMs(now.time_since_epoch()), FiveSecondWindows());
     if (due) {
@@ -387,13 +387,14 @@
   void Call(int i, int64_t window, uint64_t token, UsageCounts counts,
             TimePoint now) {
     Host& h = hosts_[static_cast<size_t>(i)];
-    UsageJudge::Call c{std::to_string(i), token, window, std::move(counts)};
-    judge.Arrived(c, now);
+    UsageReportChecker::Call c{std::to_string(i), token, window,
+                               std::move(counts)};
+    checker.OnCallArrived(c, now);
     int outcome = no_faults ? 9 : RandomBelow(10);
     if (outcome < 3) {
       delayed_calls_.emplace(now + Millis(2000 + RandomBelow(10000)), c);
       h.deliveries.RecordFailed(window, now);
-    } else if (!judge.CarryOut(c)) {
+    } else if (!checker.CarryOut(c)) {
       h.leadership.RecordRefusal(token);
     } else if (outcome < 5) {
       h.deliveries.RecordFailed(window, now);  // The platform's answer is lost.
@@ -405,7 +406,7 @@
   std::mt19937_64 random_;
   std::vector<Host> hosts_;
   int64_t first_window_ = 0;
-  std::multimap<TimePoint, UsageJudge::Call> delayed_calls_;
+  std::multimap<TimePoint, UsageReportChecker::Call> delayed_calls_;
 };
 
 }  // namespace
@@ -449,11 +450,11 @@
     }
     g.no_faults = true;
     for (int step = 0; step < 30 * 50; ++step) g.Step();
-    for (const std::string& b : g.judge.broken()) FAIL(b.c_str());
+    for (const std::string& b : g.checker.violations()) FAIL(b.c_str());
     // Checks all windows whose reports are due.
     int64_t now = g.CurrentWindow();
     for (int64_t w = g.first(); w <= now - 3; ++w) {
-      if (!g.judge.taken().count(w)) {
+      if (!g.checker.accepted_reports().count(w)) {
         FAIL(("seed " + std::to_string(seed) + ": window " + std::to_string(w) +
               " of " + std::to_string(now) + " was not reported")
                  .c_str());
