--- a/src/base/errors.cc
+++ b/src/base/errors.cc
@@ -10,7 +10,7 @@
 
 constexpr char kPayloadUrl[] = "medlarwalk/kind";
 
-// Indexed by ErrorKind. 503 asks the caller to retry later and always carries
+// Indexed by ErrorKind. 503 requests a retry later and always carries
 // Retry-After. 409 reports a conflict: either of the idempotency key or of a
 // stale fencing number. 502 reports an upstream failure after the request may
 // have started.
--- a/src/bench.cc
+++ b/src/bench.cc
@@ -81,11 +81,11 @@
         placement_rng_(seed + 1),
         queue_(policy.waiting) {
     for (int i = 0; i < kUpstreams; ++i) {
-      UpstreamState b;
-      b.info.id = absl::StrCat("u", i);
-      b.info.service = kService;
-      b.info.slots = kSlots;
-      upstreams_.push_back(b);
+      UpstreamState u;
+      u.info.id = absl::StrCat("u", i);
+      u.info.service = kService;
+      u.info.slots = kSlots;
+      upstreams_.push_back(u);
     }
     RankUpstreams(absl::MakeSpan(upstreams_));
   }
--- a/src/control_wire.h
+++ b/src/control_wire.h
@@ -95,7 +95,7 @@
   std::string leader;  // Address of the leader; "" if unknown.
   // The group's time, in Unix milliseconds; 0 if unknown.
   int64_t unix_ms = 0;
-  // Newest window for which its usage and that of all earlier windows is final;
+  // Newest window whose usage is committed, as is that of all earlier windows;
   // 0 if there is none.
   int64_t usage_committed_through = 0;
 };
--- a/src/gateway.cc
+++ b/src/gateway.cc
@@ -267,7 +267,7 @@
 }
 
 bool Gateway::TrySend(Request& r) {
-  // The tier guard holds back first attempts only. A request that has already
+  // Tier admission holds back first attempts only. A request that has already
   // been sent continues even if more urgent requests wait.
   if (r.sends == 0 &&
       !TierAdmissionFor(r.service->name).Admits(r.tier, clock_.Now())) {
@@ -286,15 +286,15 @@
         std::ceil(limit * options_.placement.reserved_top_tier_share));
   }
   TimePoint now = clock_.Now();
-  for (UpstreamState& b : pool_.upstreams()) {
-    if (b.info.service != r.service->name) continue;
-    b.no_send_slot = b.limit_per_s && !HasSendSlot(b, now);
+  for (UpstreamState& u : pool_.upstreams()) {
+    if (u.info.service != r.service->name) continue;
+    u.no_send_slot = u.limit_per_s && !HasSendSlot(u, now);
     // Each request of this process at an upstream holds one connection. With
     // fewer requests than `limit` there is a free connection, so the scan of
     // the idle connections is skipped.
-    b.at_own_limit = b.in_flight >= limit && pool_.AtConnectionLimit(b, limit);
-    if (r.shape != WorkShape::kDecode || b.at_own_limit) continue;
-    b.at_own_limit = !AcceptsGeneration(b, r.service->engine->slots,
+    u.at_own_limit = u.in_flight >= limit && pool_.AtConnectionLimit(u, limit);
+    if (r.shape != WorkShape::kDecode || u.at_own_limit) continue;
+    u.at_own_limit = !AcceptsGeneration(u, r.service->engine->slots,
                                         entry_count_, now, options_.placement);
   }
   PlacementRequest input = PlacementRequestFor(r);
--- a/src/gateway.h
+++ b/src/gateway.h
@@ -1,7 +1,7 @@
 // Request handling in an entry process. A request is matched to its route and
 // client account, waits for a slot, is sent to an upstream, is retried at
 // another one where that is allowed, and gets exactly one final answer. The
-// modules placement and waiting make the decisions; the gateway and
+// modules placement and waiting_queue make the decisions; the gateway and
 // upstream_pool do the input and output.
 #ifndef MEDLARWALK_GATEWAY_H_
 #define MEDLARWALK_GATEWAY_H_
@@ -104,9 +104,9 @@
   // would not finish within the grace period; their callers can go to another
   // entry process at once.
   void BeginDrain() { draining_ = true; }
-  // Gives every open request its final answer, when the grace period of a
+  // Gives every unfinished request its final answer, when the grace period of a
   // planned stop ends.
-  void FailOpenRequests();
+  void FailUnfinishedRequests();
 
  private:
   struct Request;
@@ -207,8 +207,8 @@
   std::map<std::string, int> decode_engines_;
   // Prefill limiters by service.
   std::map<std::string, PrefillLimiter> prefill_limiters_;
-  std::map<std::string, TierAdmission>
-      tier_admissions_;  // Tier guards by service.
+  // Tier admission by service.
+  std::map<std::string, TierAdmission> tier_admissions_;
   // Number of waiting requests as last set in the metrics, by metric label.
   std::map<std::string, int> reported_waiting_;
   TimePoint demand_updated_at_{};
--- a/src/gateway_failure.cc
+++ b/src/gateway_failure.cc
@@ -210,10 +210,10 @@
   return backoff + ClampedSeconds(seconds * spread(random_));
 }
 
-// Reports to the tier guard a request rejected for lack of capacity, unless no
+// Records at tier admission a request rejected for lack of capacity, unless no
 // upstream is usable. In an outage no request takes the slot of another. If
 // such rejections were reported, less urgent tiers would be held back after the
-// outage until the guard forgets them.
+// outage until the rejections fade.
 void Gateway::RecordCapacityRejection(const Request& r) {
   TimePoint now = clock_.Now();
   AvailabilityCounts n = CountAvailability(
--- a/src/gateway_timers.cc
+++ b/src/gateway_timers.cc
@@ -12,7 +12,7 @@
 namespace medlarwalk {
 namespace {
 
-// Time without progress, in inter-token targets, after which a stream is
+// Time without progress, in event gap targets, after which a stream is
 // retried at another upstream if allowed. Before the first event, the time is
 // counted in latency targets instead. In both cases it is at least
 // kMinStreamStall.
@@ -183,7 +183,7 @@
   UpdateWaitingMetrics();
 }
 
-void Gateway::FailOpenRequests() {
+void Gateway::FailUnfinishedRequests() {
   std::vector<uint64_t> open;
   for (auto& [seq, r] : requests_) open.push_back(seq);
   for (uint64_t seq : open) {
--- a/src/load_tool.cc
+++ b/src/load_tool.cc
@@ -31,7 +31,7 @@
   double sent_at = 0;
   double first_token_at = -1;
   double last_token_at = 0;
-  double max_token_gap = 0;
+  double max_event_gap = 0;
   int tokens = 0;
   bool end_marker_seen = false;
   bool is_own_answer = true;
@@ -65,7 +65,7 @@
       o.first_token_at = now;
       o.is_own_answer = absl::StartsWith(content, absl::StrCat("[", o.nonce));
     } else {
-      o.max_token_gap = std::max(o.max_token_gap, now - o.last_token_at);
+      o.max_event_gap = std::max(o.max_event_gap, now - o.last_token_at);
     }
     o.last_token_at = now;
     ++o.tokens;
@@ -330,7 +330,7 @@
     ttft[o->class_index].push_back(first);
     bool met_targets =
         first <= std::chrono::duration<double>(c.first_token_target).count() &&
-        o->max_token_gap <=
+        o->max_event_gap <=
             std::chrono::duration<double>(c.between_tokens_target).count();
     if (met_targets) {
       ++cr.met_targets;
--- a/src/policy/placement.cc
+++ b/src/policy/placement.cc
@@ -32,7 +32,7 @@
 // kFastQuantileDivisor of all paces.
 constexpr size_t kMinKnownPaces = 4;
 constexpr size_t kFastQuantileDivisor = 4;
-// Upper bound of a recorded token gap, in shares of its target. The bound
+// Upper bound of a recorded event gap, in shares of its target. The bound
 // limits the effect of a stream that broke off, which says nothing about the
 // gaps of other streams.
 constexpr double kMaxGapShare = 1.2;
@@ -364,9 +364,9 @@
 int ComputeDecodeEngines(const DecodeDemand& demand, int current, int slots,
                          int engines, const PlacementPolicy& policy) {
   if (engines < policy.min_engines_to_split) return 0;
-  double fill = policy.decode_fill_low_pressure +
-                demand.prefill_wait_share * (policy.decode_fill_high_pressure -
-                                             policy.decode_fill_low_pressure);
+  double fill = policy.min_decode_fill +
+                demand.prefill_wait_share *
+                    (policy.max_decode_fill - policy.min_decode_fill);
   double needed = demand.generations_in_flight /
                   std::max(1.0, fill * static_cast<double>(slots));
   double hysteresis = policy.decode_hysteresis;
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -118,11 +118,11 @@
   // share of its prompt.
   double decode_share = 0.1;
   // Target fill, in shares of slots, of the engines reserved for long
-  // generations. The low value is used normally, because prompts of long
-  // generations arrive in bursts and delay each other's prefill. The high value
+  // generations. The minimum is used normally, because prompts of long
+  // generations arrive in bursts and delay each other's prefill. The maximum
   // applies when long prompts have to wait and every engine is needed.
-  double decode_fill_low_pressure = 0.25;
-  double decode_fill_high_pressure = 0.6;
+  double min_decode_fill = 0.25;
+  double max_decode_fill = 0.6;
   // At least a third of the engines is reserved for long generations once the
   // longest recent event gap exceeds gap_high_share of its target, and until it
   // falls below gap_low_share. The recent gap decays with the time constant
@@ -197,7 +197,7 @@
   int min_straggler_samples = 8;
   // An engine decodes slowly if its decode pace exceeds that of a fast engine
   // by this factor; 0: detection is off. A concurrent prefill makes a long
-  // generation on a slow engine miss its token gap target. A slow engine gets
+  // generation on a slow engine miss its event gap target. A slow engine gets
   // long generations once the other engines are busier by slow_decode_cost, in
   // shares of slots.
   double slow_decode_factor = 1.15;
@@ -227,9 +227,9 @@
 // Smoothed demand on the engines of one service.
 struct DecodeDemand {
   double generations_in_flight = 0;  // Number of long generations in flight.
-  double prefill_wait_share =
-      0;  // Share of time in which long prompts had to wait.
-  // Longest recent token gap, in shares of its target, at the time
+  // Share of time in which long prompts had to wait.
+  double prefill_wait_share = 0;
+  // Longest recent event gap, in shares of its target, at the time
   // `recent_gap_at`.
   double recent_gap_share = 0;
   TimePoint recent_gap_at{};
@@ -251,7 +251,7 @@
                          const PlacementPolicy& policy, DecodeDemand* demand);
 
 // Returns how many of `engines` engines to reserve for long generations: a
-// sixth to a half of them, and at least a third while token gaps are near their
+// sixth to a half of them, and at least a third while event gaps are near their
 // target. Returns 0 if there are fewer than min_engines_to_split engines.
 // `current`: the number reserved so far.
 int ComputeDecodeEngines(const DecodeDemand& demand, int current, int slots,
--- a/src/policy/tier_admission.h
+++ b/src/policy/tier_admission.h
@@ -15,13 +15,13 @@
 
 namespace medlarwalk {
 
-// Parameters of admission by tier.
+// Parameters of tier admission.
 struct TierAdmissionPolicy {
   // A tier counts as rejected while at least this share of its requests finds
   // no slot. A single rejection blocks other tiers only briefly.
   double min_rejected_share = 0.02;
   // The share is smoothed over smoothing_requests requests of the tier, so that
-  // entries with few and with many requests per second judge alike. It decays
+  // entries with few and with many requests per second decide alike. It decays
   // with the time constant decay_s, so that it fades when the tier gets no more
   // requests.
   double smoothing_requests = 30;
@@ -31,7 +31,7 @@
   double max_rejected_share = 0.12;
 };
 
-// Admission by tier at one service. Thread safety: loop thread only.
+// Tier admission at one service. Thread safety: loop thread only.
 class TierAdmission {
  public:
   explicit TierAdmission(const TierAdmissionPolicy& policy) : policy_(policy) {}
--- a/src/serving.cc
+++ b/src/serving.cc
@@ -278,7 +278,7 @@
     callers_.StopAccepting();
   }
   if (since > kCloseIdleAfter) callers_.CloseIdle();
-  if (since > options_.grace - kGraceMargin) gateway_.FailOpenRequests();
+  if (since > options_.grace - kGraceMargin) gateway_.FailUnfinishedRequests();
   if (stopped_accepting_ && gateway_.open_requests() == 0 &&
       callers_.busy() == 0) {
     LogEvent("stopped", {});
--- a/src/upstream_link.h
+++ b/src/upstream_link.h
@@ -43,7 +43,7 @@
   std::function<void(absl::string_view)> on_body;
   // Called once, after all other callbacks. `why` is a text for the log: the
   // reason of a failure, or how the end of a complete answer was detected
-  // (EndName).
+  // (EndDetectionName).
   std::function<void(CallEnd end, absl::string_view why)> on_end;
 };
 
--- a/src/upstream_pool.cc
+++ b/src/upstream_pool.cc
@@ -16,18 +16,18 @@
 UpstreamPool::UpstreamPool(const Clock& clock, LinkOpener open)
     : clock_(clock), open_link_(std::move(open)) {}
 
-void UpstreamPool::ResetState(UpstreamState& b, const UpstreamInfo& fresh) {
+void UpstreamPool::ResetState(UpstreamState& state, const UpstreamInfo& fresh) {
   LogEvent("upstream_restarted", {{"upstream", fresh.id},
                                   {"address", fresh.address.ToString()},
                                   {"born", fresh.started_unix_ms},
-                                  {"born_before", b.info.started_unix_ms},
-                                  {"in_flight", b.in_flight}});
+                                  {"born_before", state.info.started_unix_ms},
+                                  {"in_flight", state.in_flight}});
   UpstreamState reset;
   reset.info = fresh;
-  reset.in_flight = b.in_flight;
-  reset.prefills_in_flight = b.prefills_in_flight;
-  reset.last_activity_at = b.last_activity_at;
-  b = std::move(reset);
+  reset.in_flight = state.in_flight;
+  reset.prefills_in_flight = state.prefills_in_flight;
+  reset.last_activity_at = state.last_activity_at;
+  state = std::move(reset);
   Connections& c = connections_[fresh.id];
   for (const auto& k : c.idle) k->Close();
   c.idle.clear();
@@ -36,36 +36,36 @@
 std::vector<std::string> UpstreamPool::Update(
     absl::Span<const UpstreamInfo> listed) {
   std::vector<std::string> restarted;
-  for (UpstreamState& b : upstreams_) b.listed = false;
+  for (UpstreamState& state : upstreams_) state.listed = false;
   for (const UpstreamInfo& u : listed) {
     auto it = index_.find(u.id);
     if (it == index_.end()) {
       index_[u.id] = upstreams_.size();
-      UpstreamState b;
-      b.info = u;
-      upstreams_.push_back(std::move(b));
+      UpstreamState state;
+      state.info = u;
+      upstreams_.push_back(std::move(state));
       LogEvent("upstream_added", {{"upstream", u.id},
                                   {"service", u.service},
                                   {"address", u.address.ToString()}});
       continue;
     }
-    UpstreamState& b = upstreams_[it->second];
-    b.listed = true;
+    UpstreamState& state = upstreams_[it->second];
+    state.listed = true;
     // An outdated entry is ignored: the list may lag, and several processes
     // read it.
-    if (u.started_unix_ms && u.started_unix_ms < b.info.started_unix_ms)
+    if (u.started_unix_ms && u.started_unix_ms < state.info.started_unix_ms)
       continue;
-    if (HasRestarted(b.info, u)) {
-      ResetState(b, u);
+    if (HasRestarted(state.info, u)) {
+      ResetState(state, u);
       restarted.push_back(u.id);
       continue;
     }
-    if (u.draining && !b.info.draining) {
+    if (u.draining && !state.info.draining) {
       LogEvent("upstream_leaving",
-               {{"upstream", u.id}, {"in_flight", b.in_flight}});
+               {{"upstream", u.id}, {"in_flight", state.in_flight}});
     }
-    b.info = u;
-    b.info.draining |= b.announced_draining;
+    state.info = u;
+    state.info.draining |= state.announced_draining;
   }
   RankUpstreams(absl::MakeSpan(upstreams_));
   Tick();
@@ -78,10 +78,10 @@
 }
 
 bool UpstreamPool::RecordDraining(const std::string& id) {
-  UpstreamState* b = Find(id);
-  if (!b || b->announced_draining) return false;
-  b->announced_draining = true;
-  b->info.draining = true;
+  UpstreamState* state = Find(id);
+  if (!state || state->announced_draining) return false;
+  state->announced_draining = true;
+  state->info.draining = true;
   RankUpstreams(absl::MakeSpan(upstreams_));
   return true;
 }
@@ -144,13 +144,13 @@
   }
   bool removed = false;
   for (size_t i = 0; i < upstreams_.size();) {
-    UpstreamState& b = upstreams_[i];
-    if (b.listed || b.in_flight > 0) {
+    UpstreamState& state = upstreams_[i];
+    if (state.listed || state.in_flight > 0) {
       ++i;
       continue;
     }
-    LogEvent("upstream_gone", {{"upstream", b.info.id}});
-    connections_.erase(b.info.id);
+    LogEvent("upstream_gone", {{"upstream", state.info.id}});
+    connections_.erase(state.info.id);
     upstreams_.erase(upstreams_.begin() + static_cast<long>(i));
     removed = true;
   }
--- a/src/upstream_pool.h
+++ b/src/upstream_pool.h
@@ -16,8 +16,8 @@
 
 namespace medlarwalk {
 
-// State upstreams and pooled links of all known upstreams. Thread safety: loop
-// thread only.
+// State and pooled links of all known upstreams. Thread safety: loop thread
+// only.
 class UpstreamPool {
  public:
   UpstreamPool(const Clock& clock, LinkOpener open);
@@ -59,9 +59,9 @@
   void Tick();
 
  private:
-  // Resets the state of the restarted upstream `b`. The counts of its requests
-  // in flight are kept.
-  void ResetState(UpstreamState& b, const UpstreamInfo& fresh);
+  // Resets `state` after a restart of its upstream, which is listed as `fresh`.
+  // The counts of its requests in flight are kept.
+  void ResetState(UpstreamState& state, const UpstreamInfo& fresh);
   struct Connections {
     std::vector<std::shared_ptr<UpstreamLink>> idle;
     int in_use = 0;
--- a/test/answer_end_test.cc
+++ b/test/answer_end_test.cc
@@ -21,7 +21,7 @@
 
 namespace {
 
-// What a scripted peer does with its connection after its last piece.
+// Action of a scripted peer on its connection after its last piece.
 enum class Ending { kStay, kClose, kReset };
 
 // A server that answers the first bytes it receives with `pieces`, one at a
--- a/test/duty/duty_test.cc
+++ b/test/duty/duty_test.cc
@@ -316,7 +316,7 @@
     group.Run(Millis(20));
     TimePoint now = group.clock.Now();
     while (!delayed_calls_.empty() && delayed_calls_.begin()->first <= now) {
-      checker.CarryOut(delayed_calls_.begin()->second);
+      checker.ExecuteCall(delayed_calls_.begin()->second);
       delayed_calls_.erase(delayed_calls_.begin());
     }
     for (int i = 0; i < group.size(); ++i) {
@@ -394,7 +394,7 @@
     if (outcome < 3) {
       delayed_calls_.emplace(now + Millis(2000 + RandomBelow(10000)), c);
       h.deliveries.RecordFailed(window, now);
-    } else if (!checker.CarryOut(c)) {
+    } else if (!checker.ExecuteCall(c)) {
       h.leadership.RecordRefusal(token);
     } else if (outcome < 5) {
       h.deliveries.RecordFailed(window, now);  // The platform's answer is lost.
--- a/test/policy/placement_test.cc
+++ b/test/policy/placement_test.cc
@@ -14,11 +14,11 @@
 std::vector<UpstreamState> Engines(int n) {
   std::vector<UpstreamState> upstreams;
   for (int i = 0; i < n; ++i) {
-    UpstreamState b;
-    b.info.id = absl::StrCat("i-", i);
-    b.info.service = "engine";
-    b.info.slots = 64;
-    upstreams.push_back(b);
+    UpstreamState u;
+    u.info.id = absl::StrCat("i-", i);
+    u.info.service = "engine";
+    u.info.slots = 64;
+    upstreams.push_back(u);
   }
   RankUpstreams(absl::MakeSpan(upstreams));
   return upstreams;
@@ -69,8 +69,8 @@
 // the reservation is not enforced.
 TEST(placement, FullDecodeEnginesSpillOverToOthers) {
   std::vector<UpstreamState> upstreams = Engines(4);
-  for (UpstreamState& b : upstreams) {
-    if (b.rank < 3) b.in_flight = 60;
+  for (UpstreamState& u : upstreams) {
+    if (u.rank < 3) u.in_flight = 60;
   }
   auto at = ChooseUpstream(upstreams, MakeRequest(WorkShape::kDecode), kNow, 0,
                            kPolicy);
@@ -199,7 +199,7 @@
   CHECK_TRUE(Usable(u, kNow, kPolicy));
 }
 
-// Failure: long generations exceed their token gap target although engines are
+// Failure: long generations exceed their event gap target although engines are
 // reserved for them. Load pattern: nine entries share nine engines with twenty
 // long generations, about two per entry. Cause: each entry estimates the total
 // demand from its own two generations and reserves two or three engines, so the
@@ -213,12 +213,12 @@
   for (int round = 0; round < 50; ++round) {
     for (int entry = 0; entry < 9; ++entry) {
       std::vector<UpstreamState> upstreams = Engines(9);
-      for (UpstreamState& b : upstreams) {
-        if (b.rank >= 2) continue;
-        b.in_flight = b.in_flight_at_report =
+      for (UpstreamState& u : upstreams) {
+        if (u.rank >= 2) continue;
+        u.in_flight = u.in_flight_at_report =
             std::binomial_distribution<int>(10, 1.0 / 9)(random);
-        b.reported_load = 10;
-        b.reported_at = kNow - Millis(age_ms(random));
+        u.reported_load = 10;
+        u.reported_at = kNow - Millis(age_ms(random));
       }
       DecodeDemand d;
       d.generations_in_flight =
@@ -230,11 +230,11 @@
   }
 }
 
-// Failure: long generations exceed their token gap target on engines with slow
+// Failure: long generations exceed their event gap target on engines with slow
 // prefill. Load pattern: prompts of long generations arrive in bursts of three,
 // and two bursts together block an engine for longer than the target. Cause:
 // the number of engines reserved by the request count alone is too small. A
-// third of the engines must be reserved while token gaps are near their target.
+// third of the engines must be reserved while event gaps are near their target.
 TEST(placement, EventGapsNearTargetReserveMoreEngines) {
   DecodeDemand d;
   d.generations_in_flight = 20;
@@ -264,14 +264,14 @@
   int generation_limit = OwnGenerationLimit(kSlots, kEntries, kPolicy);
   for (int entry = 0; entry < kEntries; ++entry) {
     std::vector<UpstreamState> upstreams = Engines(30);
-    for (UpstreamState& b : upstreams) b.info.slots = kSlots;
+    for (UpstreamState& u : upstreams) u.info.slots = kSlots;
     PlacementRequest request;
     request.service = "engine";
     request.shape = WorkShape::kDecode;
     request.decode_engines = 4;
     for (int i = 0; i < 12; ++i) {
-      for (UpstreamState& b : upstreams)
-        b.at_own_limit = b.in_flight >= generation_limit;
+      for (UpstreamState& u : upstreams)
+        u.at_own_limit = u.in_flight >= generation_limit;
       std::optional<size_t> to =
           ChooseUpstream(upstreams, request, kNow, draw(random), kPolicy);
       CHECK_TRUE(to.has_value());
@@ -328,7 +328,7 @@
 // entry's own requests must take precedence over the report.
 TEST(placement, OwnRequestsCorrectADelayedLoadReport) {
   std::vector<UpstreamState> upstreams = Engines(3);
-  for (UpstreamState& b : upstreams) b.reported_at = kNow - Millis(100);
+  for (UpstreamState& u : upstreams) u.reported_at = kNow - Millis(100);
   upstreams[0].in_flight = 9;  // The load report of this engine still shows 0.
   upstreams[1].reported_load = 2;
   upstreams[2].reported_load = 2;
@@ -338,7 +338,7 @@
   }
 }
 
-// Failure: one slow engine increases the token gaps of every class. Sequence:
+// Failure: one slow engine increases the event gaps of every class. Sequence:
 // the gaps between the events of the engine grow, and nothing detects it. The
 // engine must be marked as a straggler and avoided while other engines can
 // serve.
@@ -451,8 +451,8 @@
   std::mt19937_64 random(5);
   std::uniform_real_distribution<double> draw(0, 1);
   int fast_engines = 0;
-  for (const UpstreamState& b : upstreams)
-    fast_engines += !b.slow_decode && b.rank < 6;
+  for (const UpstreamState& u : upstreams)
+    fast_engines += !u.slow_decode && u.rank < 6;
   CHECK_TRUE(fast_engines > 0 && fast_engines < 6);
   // The fast engines get all generations until a quarter of their slots is
   // used.
@@ -483,15 +483,15 @@
   RecordDecodePace(upstreams[1], Millis(60));
   MarkSlowDecoders(absl::MakeSpan(upstreams), kPolicy);
   CHECK_FALSE(upstreams[1].slow_decode);
-  for (UpstreamState& b : upstreams) b.decode_pace_s = 0.030;
+  for (UpstreamState& u : upstreams) u.decode_pace_s = 0.030;
   // After a suspension an entry receives all delayed events together.
   for (int i = 0; i < 6; ++i)
     RecordDecodePace(upstreams[static_cast<size_t>(i)], Millis(1));
   MarkSlowDecoders(absl::MakeSpan(upstreams), kPolicy);
-  for (const UpstreamState& b : upstreams) CHECK_FALSE(b.slow_decode);
-  for (UpstreamState& b : upstreams) {
-    for (int i = 0; i < 40; ++i) RecordDecodePace(b, Millis(75));
+  for (const UpstreamState& u : upstreams) CHECK_FALSE(u.slow_decode);
+  for (UpstreamState& u : upstreams) {
+    for (int i = 0; i < 40; ++i) RecordDecodePace(u, Millis(75));
   }
   MarkSlowDecoders(absl::MakeSpan(upstreams), kPolicy);
-  for (const UpstreamState& b : upstreams) CHECK_FALSE(b.slow_decode);
+  for (const UpstreamState& u : upstreams) CHECK_FALSE(u.slow_decode);
 }
--- a/test/policy/tier_admission_test.cc
+++ b/test/policy/tier_admission_test.cc
@@ -1,4 +1,4 @@
-// Tests of admission by tier while a tier has rejections.
+// Tests of tier admission while a tier has rejections.
 #include "tier_admission.h"
 
 #include <random>
--- a/test/policy/waiting_queue_test.cc
+++ b/test/policy/waiting_queue_test.cc
@@ -1,4 +1,4 @@
-// Tests of the waiting_queue queue: the serving order, and which requests are
+// Tests of the waiting queue: the serving order, and which requests are
 // rejected or shed. A rejection is immediate, a request is never rejected in
 // favour of a less urgent tier, and no request starves.
 #include "waiting_queue.h"
--- a/test/upstream_pool_test.cc
+++ b/test/upstream_pool_test.cc
@@ -45,11 +45,11 @@
   // Gives the upstream a termination mark, a load, requests in flight and one
   // pooled link.
   std::shared_ptr<UpstreamLink> SetFailedState() {
-    UpstreamState& b = *pool.Find("i-1");
-    b.terminated = true;
-    b.reported_load = 60;
-    b.in_flight = 3;
-    auto link = pool.AcquireLink(b, Millis(100));
+    UpstreamState& state = *pool.Find("i-1");
+    state.terminated = true;
+    state.reported_load = 60;
+    state.in_flight = 3;
+    auto link = pool.AcquireLink(state, Millis(100));
     pool.ReleaseLink("i-1", link);
     return link;
   }
@@ -57,7 +57,7 @@
 
 // Guards against stale state of a restarted upstream. With that state it would
 // get no requests, or count as holding prompts that it has lost. The upstream
-// restarts under its old id while its board marks it as terminated, loaded and
+// restarts under its old id while its state marks it as terminated, loaded and
 // connected. Another incarnation has answered at its address. State kept by id
 // alone would survive the restart.
 TEST(upstream_pool, RestartResetsTheState) {
@@ -66,11 +66,11 @@
   LONGS_EQUAL(0, UpdateList(Engine(1000)).size());
   CHECK_TRUE(pool.Find("i-1")->terminated);
   LONGS_EQUAL(1, UpdateList(Engine(2000)).size());
-  const UpstreamState& b = *pool.Find("i-1");
-  CHECK_FALSE(b.terminated);
-  LONGS_EQUAL(0, b.reported_load);
-  LONGS_EQUAL(3, b.in_flight);
-  CHECK_TRUE(b.listed);
+  const UpstreamState& state = *pool.Find("i-1");
+  CHECK_FALSE(state.terminated);
+  LONGS_EQUAL(0, state.reported_load);
+  LONGS_EQUAL(3, state.in_flight);
+  CHECK_TRUE(state.listed);
   CHECK_FALSE(link->open());
 }
 
