--- a/src/control_wire.h
+++ b/src/control_wire.h
@@ -36,7 +36,7 @@
   std::string data_centre;  // Data centre of the follower.
   std::string address;      // Address where others can watch it, or "".
   bool serves_callers = false;
-  // Serving processes that watch this follower directly.
+  // Number of serving processes that watch this follower directly.
   int serving_followers = 0;
   int64_t config_version = 0;
   int64_t list_version = 0;
--- a/src/dialect.h
+++ b/src/dialect.h
@@ -46,8 +46,8 @@
   std::string id;  // Id of the request.
   // Id of the intended upstream; any other must reject the request.
   std::string upstream_id;
-  Duration time_limit{};               // Remaining time that the caller waits.
-  std::string account;                 // Client account; empty if none.
+  Duration time_limit{};  // Remaining time for which the caller waits.
+  std::string account;    // Client account; empty if none.
   std::optional<int> engine_priority;  // 0 is the most urgent.
   // Id of the last event that the caller has; the answer resumes after it.
   std::optional<int64_t> last_event;
@@ -76,7 +76,7 @@
   // Rate limit announced by the upstream, in requests per second from all
   // processes together; nullopt if none.
   std::optional<double> limit_per_s;
-  bool leaving = false;  // The upstream is draining.
+  bool draining = false;  // The upstream announces that it is draining.
   // Backoff requested by the upstream that rejects the request: time for which
   // this process must send nothing to the upstream. Zero if no backoff is
   // requested.
--- a/src/duty/group_time.h
+++ b/src/duty/group_time.h
@@ -57,8 +57,9 @@
     TimePoint at{};         // When the offset was recorded.
   };
   std::map<std::string, Sample> samples_;
-  std::optional<int64_t> median_offset_;  // Of the samples, in ms.
-  TimePoint median_at_{};                 // When the median was computed.
+  // Median offset of the samples, in ms.
+  std::optional<int64_t> median_offset_;
+  TimePoint median_at_{};  // When the median was computed.
   // Recently received times. Transit only makes a received time appear too
   // early, so the received time with the largest offset had the shortest
   // transit and is the most accurate.
--- a/src/gateway_answer.cc
+++ b/src/gateway_answer.cc
@@ -35,7 +35,7 @@
     if (f.has_load) RecordLoadReport(*u, f.running, f.waiting, now);
     RecordAnnouncedLimit(r, *u, f);
     if (!f.other_upstream) RecordBackoff(r, *u, f.backoff);
-    if (!f.other_upstream && f.leaving && pool_.RecordDraining(r.upstream)) {
+    if (!f.other_upstream && f.draining && pool_.RecordDraining(r.upstream)) {
       LogEvent("upstream_says_leaving", {{"upstream", r.upstream},
                                          {"request", r.facts.id},
                                          {"in_flight", u->in_flight}});
--- a/src/ledger.h
+++ b/src/ledger.h
@@ -21,11 +21,11 @@
 
 // The state of an idempotency key as found by BeginRequest.
 enum class LedgerKeyState {
-  kNew,         // Not in the ledger before; now recorded as started.
-  kRunning,     // Started by this process and not completed yet.
-  kCompleted,   // Completed; the answer is stored.
-  kMayHaveRun,  // Started before a restart and never completed: it may have
-                // run, so it must not run again.
+  kNew,         // The key was not in the ledger; now recorded as started.
+  kRunning,     // The request was started by this process and is not completed.
+  kCompleted,   // The request completed; its answer is stored.
+  kMayHaveRun,  // The request was started before a restart and never completed:
+                // it may have run, so it must not run again.
   kKeyReused,   // The key was used with a different request body.
 };
 
--- a/src/load_tool.h
+++ b/src/load_tool.h
@@ -52,7 +52,7 @@
 struct ClassReport {
   std::string class_name;
   int sent = 0;
-  int complete = 0;       // Complete answers that belong to the request.
+  int complete = 0;       // Complete answers, each to its own request.
   int met_targets = 0;    // Complete answers within both latency targets.
   int error_answers = 0;  // Requests without an answer of status 200.
   int incomplete = 0;     // Answers that ended early.
--- a/src/policy/placement.cc
+++ b/src/policy/placement.cc
@@ -52,7 +52,7 @@
 struct Candidate {
   size_t index;
   double score;
-  bool busy;                   // At its load limit or prefill limit.
+  bool busy;                   // Engine is at its load limit or prefill limit.
   bool shape_mismatch;         // Reserved for the other work shape.
   uint64_t affinity_hash = 0;  // Hash of engine and prefix; 0: no affinity.
 
