--- a/src/control_wire.h
+++ b/src/control_wire.h
@@ -36,7 +36,7 @@
   std::string data_centre;  // Data centre of the follower.
   std::string address;      // Address where others can watch it, or "".
   bool serves_callers = false;
-  // Serving processes that watch this follower directly.
+  // Number of serving processes that watch this follower directly.
   int serving_followers = 0;
   int64_t config_version = 0;
   int64_t list_version = 0;
@@ -95,7 +95,7 @@
   std::string leader;  // Address of the leader; "" if unknown.
   // The group's time, in Unix milliseconds; 0 if unknown.
   int64_t unix_ms = 0;
-  // Newest window for which its usage and that of all earlier windows is final;
+  // Newest window whose usage is committed, as is that of all earlier windows;
   // 0 if there is none.
   int64_t usage_committed_through = 0;
 };
