--- a/src/duty/duty_leadership.h
+++ b/src/duty/duty_leadership.h
@@ -18,8 +18,8 @@
 struct DutyLeadershipPolicy {
   // Duration of the lease that the outside system grants a holder.
   Duration lease{};
-  // Time added to the lease. It covers the time until a leader notices that it
-  // has lost its quorum, and the transit of its last call.
+  // Time added to the lease, for the delay until a leader notices that it has
+  // lost its quorum and for the transit of its last call.
   Duration margin = std::chrono::seconds(1);
   // Maximum age of the quorum's last confirmation of the leadership, counted
   // from the time at which it was requested. A process that was frozen after
@@ -40,7 +40,7 @@
   // Records that the outside system refused `token`, because a holder with a
   // higher token has acted. The token is not used again.
   void RecordRefusal(uint64_t token);
-  // Returns whether this process has led for at least `d`.
+  // Returns whether this process has been the leader for at least `d`.
   bool HasLedFor(Duration d, TimePoint now) const {
     return leads_ && now - since_ >= d;
   }
@@ -57,7 +57,7 @@
   bool leads_ = false;
   uint64_t term_ = 0;
   TimePoint since_{};         // When the current leadership began.
-  TimePoint confirmed_at_{};  // Request time of the last confirmation.
+  TimePoint confirmed_at_{};  // When the last confirmation was requested.
   bool confirmed_ = false;
   bool refused_ = false;
 };
--- a/src/duty/duty_log.cc
+++ b/src/duty/duty_log.cc
@@ -5,7 +5,7 @@
 
 namespace medlarwalk {
 
-size_t DutyLog::Subject::Bytes() const {
+size_t DutyLog::Subject::OpenBytes() const {
   size_t n = 0;
   for (const auto& [number, content] : open) n += content->size();
   return n;
@@ -34,9 +34,9 @@
   subjects_[subject] = std::move(s);
 }
 
-size_t DutyLog::Bytes() const {
+size_t DutyLog::OpenBytes() const {
   size_t n = 0;
-  for (const auto& [name, s] : subjects_) n += s.Bytes();
+  for (const auto& [name, s] : subjects_) n += s.OpenBytes();
   return n;
 }
 
--- a/src/duty/duty_log.h
+++ b/src/duty/duty_log.h
@@ -1,7 +1,7 @@
 // Log of duties: calls to outside systems that one host at a time makes for the
 // whole group. The log holds the content that the group has committed to send,
-// by subject. It is part of the replicated state: every replica applies the
-// same records in the same order.
+// by subject. The log is part of the replicated state: every replica applies
+// the same records in the same order.
 //
 // Load pattern: an unanswered call may be executed seconds later, after calls
 // of another holder. A repeated call must have the same content as the first
@@ -25,8 +25,8 @@
   // Sequence number of the call; increases within a subject.
   int64_t number = 0;
   Document content;  // Never null.
-  // All calls up to this sequence number were accepted, as far as the proposer
-  // of the record knew.
+  // The outside system accepted all calls on the subject up to this sequence
+  // number, as far as the proposer of the record knew.
   int64_t accepted_through = 0;
 };
 
@@ -37,16 +37,18 @@
   struct Subject {
     // The highest committed sequence number; 0: none yet.
     int64_t committed_through = 0;
-    // All calls up to this sequence number were accepted.
+    // The outside system accepted all calls on the subject up to this sequence
+    // number.
     int64_t accepted_through = 0;
-    // Contents by sequence number: committed, but not known to be accepted.
+    // Committed contents that are not known to be accepted, by sequence number.
     std::map<int64_t, Document> open;
     // Returns the size of all contents in `open`, in bytes.
-    size_t Bytes() const;
+    size_t OpenBytes() const;
   };
 
-  // Applies a committed record. Returns false and ignores the record if one of
-  // its subject with the same or a higher sequence number was applied before.
+  // Applies a committed record. If a record of the same subject with the same
+  // or a higher sequence number was applied before, ignores the content and
+  // returns false.
   bool Apply(const DutyRecord& r);
   // Returns the state of `subject`; an empty one if nothing is committed.
   const Subject& FindSubject(const std::string& subject) const;
@@ -54,11 +56,11 @@
   // Sets the state of `subject` from a snapshot.
   void Restore(const std::string& subject, Subject s);
   // Returns the size of all open contents of all subjects, in bytes.
-  size_t Bytes() const;
+  size_t OpenBytes() const;
 
  private:
-  // Maximum number of open records per subject; the oldest are dropped beyond
-  // it.
+  // Maximum number of open contents per subject; beyond it the oldest contents
+  // are dropped.
   static constexpr size_t kMaxOpen = 64;
 
   std::map<std::string, Subject> subjects_;
--- a/src/duty/group_time.h
+++ b/src/duty/group_time.h
@@ -39,9 +39,10 @@
   // showed `unix_ms` at `now`.
   void RecordSample(const std::string& from, int64_t unix_ms, TimePoint now);
   // Records the group's time, received at `now` from the process that this one
-  // follows. UnixMsAt() prefers received times to samples until the latest
-  // sample is newer by more than kReceivedTrust. That happens once this process
-  // has become the leader and receives no more times.
+  // follows. UnixMsAt() prefers received times to samples, unless the latest
+  // sample was recorded more than kReceivedTrust after the latest received
+  // time. That is the case once this process has become the leader and receives
+  // no more times.
   void RecordReceivedTime(int64_t unix_ms, TimePoint now);
   // Returns the group's time at `at`, in milliseconds since the Unix epoch;
   // nullopt before any time was recorded.
@@ -50,7 +51,8 @@
  private:
   // Samples and received times older than this are dropped.
   static constexpr auto kSampleTrust = std::chrono::seconds(5);
-  // Maximum time by which a received time may be older than the latest sample.
+  // Received times are not used once the latest one is older than the latest
+  // sample by more than this.
   static constexpr auto kReceivedTrust = std::chrono::seconds(2);
   struct Sample {
     int64_t offset_ms = 0;  // Wall clock minus monotonic clock.
--- a/src/duty/usage_schedule.cc
+++ b/src/duty/usage_schedule.cc
@@ -13,7 +13,8 @@
   return unix_ms / std::max<int64_t>(1, ToMs(policy.window));
 }
 
-Millis SinceEnd(int64_t window, int64_t unix_ms, const UsagePolicy& policy) {
+Millis TimeSinceWindowEnd(int64_t window, int64_t unix_ms,
+                          const UsagePolicy& policy) {
   return Millis(unix_ms - (window + 1) * ToMs(policy.window));
 }
 
@@ -31,7 +32,7 @@
       std::max(window, WindowAt(unix_ms, policy) - policy.max_windows_behind);
   Duration delay = std::chrono::duration_cast<Duration>(
       policy.due * policy.commit_delay_share);
-  if (SinceEnd(window, unix_ms, policy) < delay) return std::nullopt;
+  if (TimeSinceWindowEnd(window, unix_ms, policy) < delay) return std::nullopt;
   return window;
 }
 
@@ -78,7 +79,7 @@
   d.retry_at = now + d.retry_delay;
 }
 
-void UsageDeliveries::Reset() { deliveries_.clear(); }
+void UsageDeliveries::ClearDeliveries() { deliveries_.clear(); }
 
 int64_t UsageDeliveries::AcceptedThrough(
     const DutyLog::Subject& subject) const {
--- a/src/duty/usage_schedule.h
+++ b/src/duty/usage_schedule.h
@@ -1,5 +1,6 @@
 // Schedule of usage reports: when the counts of a window are committed, and
-// which report is sent next. Does no input or output; the time is a parameter.
+// which report is sent next. Sends and commits nothing itself; callers pass the
+// current time.
 #ifndef MEDLARWALK_USAGE_SCHEDULE_H_
 #define MEDLARWALK_USAGE_SCHEDULE_H_
 
@@ -16,17 +17,17 @@
 
 namespace medlarwalk {
 
-// The subject of usage reports in the duty log. The number of a report is its
-// window.
+// The subject of usage reports in the duty log. The sequence number of a report
+// is the number of its window.
 inline constexpr char kUsageSubject[] = "usage";
 
 struct UsagePolicy {
   Duration window{};  // Length of a window; 0: usage is not reported.
   Duration due{};  // Deadline of a report, counted from the end of its window.
   // A window is committed when this share of `due` has passed since the end of
-  // the window. That is late enough for delayed reports of entries, and early
-  // enough for a new leader, which has to wait before it may send the report.
-  // Until the commit, the counts exist only in the memory of processes.
+  // the window. That is late enough for delayed counts of entries to arrive,
+  // and early enough for a new leader, which has to wait before it may send the
+  // report. Until the commit, the counts exist only in the memory of processes.
   double commit_delay_share = 0.25;
   // Maximum number of past windows that are still reported after an outage of
   // the group.
@@ -40,12 +41,14 @@
 int64_t WindowAt(int64_t unix_ms, const UsagePolicy& policy);
 // Returns the time from the end of `window` to `unix_ms`; negative if `unix_ms`
 // is earlier.
-Millis SinceEnd(int64_t window, int64_t unix_ms, const UsagePolicy& policy);
+Millis TimeSinceWindowEnd(int64_t window, int64_t unix_ms,
+                          const UsagePolicy& policy);
 
 // Returns the window whose counts are to be committed now, if any. All windows
-// from the first with counts are committed, without gaps, because the receiver
-// could not distinguish a skipped report from a lost one. The exception is
-// windows older than the last `max_windows_behind`: they are skipped.
+// from the first window with counts on are committed, without gaps, because the
+// receiver could not distinguish a skipped report from a lost one. The
+// exception is windows older than the last `max_windows_behind`: they are
+// skipped.
 std::optional<int64_t> WindowToCommit(const DutyLog::Subject& subject,
                                       const UsageTable& table, int64_t unix_ms,
                                       const UsagePolicy& policy);
@@ -72,7 +75,7 @@
   // Forgets all deliveries. Called when the term changes: another leader may
   // have sent reports in the meantime, and the log shows which reports it found
   // accepted.
-  void Reset();
+  void ClearDeliveries();
   // Returns the window up to which all reports are accepted, according to the
   // log and to the deliveries recorded here.
   int64_t AcceptedThrough(const DutyLog::Subject& subject) const;
--- a/src/duty/usage_table.cc
+++ b/src/duty/usage_table.cc
@@ -40,7 +40,7 @@
   }
 }
 
-void UsageTable::DropThrough(int64_t window) {
+void UsageTable::DropWindowsThrough(int64_t window) {
   dropped_through_ = std::max(dropped_through_, window);
   while (!cells_.empty() && cells_.begin()->first.window <= dropped_through_) {
     by_seq_.erase(cells_.begin()->second.seq);
--- a/src/duty/usage_table.h
+++ b/src/duty/usage_table.h
@@ -1,8 +1,8 @@
 // Table of usage counts: requests that started to run, by window of the group's
-// time and client account. An entry holds its own counts; a control process
-// holds the counts of all processes that report to it. Counts are kept per
-// process and only grow, and merging keeps the larger value. Therefore counts
-// may be reported any number of times and through any other process.
+// time and client account. An entry process holds its own counts; a control
+// process holds the counts of all processes that report to it. Counts are kept
+// per process and only grow, and merging keeps the larger value. Therefore
+// counts may be reported any number of times and through any other process.
 #ifndef MEDLARWALK_USAGE_TABLE_H_
 #define MEDLARWALK_USAGE_TABLE_H_
 
@@ -39,9 +39,9 @@
                     const std::string& account);
   // Merges the counts of other processes.
   void MergeRecords(absl::Span<const UsageRecord> records);
-  // Removes all counts up to `window`, which is committed. Later counts for
-  // these windows are ignored.
-  void DropThrough(int64_t window);
+  // Removes the counts of `window`, which is committed, and of all earlier
+  // windows. Later counts for these windows are ignored.
+  void DropWindowsThrough(int64_t window);
 
   // Returns the counts of all processes in `window`, by account.
   UsageCounts SumByAccount(int64_t window) const;
@@ -82,8 +82,8 @@
   uint64_t seq_ = 0;
 };
 
-// Tracks which usage records the process reported to (the target) has not
-// confirmed yet. Thread safety: loop thread only.
+// Tracks which usage records are not yet confirmed by the process that receives
+// the reports (the target). Thread safety: loop thread only.
 class UsageReportTracker {
  public:
   // `interval`: minimum time between two reports. Counts that this process has
--- a/src/gateway.cc
+++ b/src/gateway.cc
@@ -270,7 +270,7 @@
   // Tier admission holds back first attempts only. A request that has already
   // been sent continues even if more urgent requests wait.
   if (r.sends == 0 &&
-      !TierAdmissionFor(r.service->name).Admits(r.tier, clock_.Now())) {
+      !TierAdmissionFor(r.service->name).MayStart(r.tier, clock_.Now())) {
     return false;
   }
   if (r.shape == WorkShape::kPrefill &&
@@ -397,7 +397,7 @@
   if (!source && !match.engine.empty()) source = pool_.Find(match.engine);
   if (!source || source->info.id == to.info.id ||
       source->info.service != to.info.service ||
-      !Usable(*source, now, options_.placement)) {
+      !MayReceiveRequests(*source, now, options_.placement)) {
     return {};
   }
   return source->info.address;
--- a/src/policy/placement.cc
+++ b/src/policy/placement.cc
@@ -20,12 +20,12 @@
 // Weight of the newest gap in the smoothed event gap.
 constexpr double kGapSmoothing = 0.2;
 // Weights of a new decode pace that is faster or slower than the known pace.
-// They differ because a busy engine looks slow for a while, but an idle engine
-// never looks too fast.
+// The weights differ because a busy engine looks slow for a while, but an idle
+// engine never looks too fast.
 constexpr double kFasterPaceSmoothing = 0.3;
 constexpr double kSlowerPaceSmoothing = 0.01;
-// A pace below this share of the known pace (seconds per event) is ignored: the
-// events were delayed on their way and arrived together.
+// A measured pace (seconds per event) below this share of the known pace is
+// ignored: the events were delayed on their way and arrived together.
 constexpr double kBunchedEventsShare = 0.5;
 // Minimum number of known paces for engines to be marked as slow, and the
 // divisor that selects the reference pace: the quantile 1 /
@@ -53,11 +53,11 @@
   size_t index;
   double score;
   bool busy;                   // Engine is at its load limit or prefill limit.
-  bool shape_mismatch;         // Reserved for the other work shape.
+  bool shape_mismatch;         // Reserved for the other kind of engine work.
   uint64_t affinity_hash = 0;  // Hash of engine and prefix; 0: no affinity.
 
-  // Orders the preferred engines of a prefix, identically in every entry
-  // process.
+  // Orders the preferred engines of a prefix. The order is the same in every
+  // entry process.
   bool PreferredOver(const Candidate& o) const {
     return std::make_pair(!shape_mismatch, affinity_hash) >
            std::make_pair(!o.shape_mismatch, o.affinity_hash);
@@ -67,8 +67,8 @@
 // Returns this process's part of the slots of one engine, multiplied by
 // `share`. The engine has `slots` slots, divided among `serving` processes.
 int OwnSlotShare(double share, int slots, int serving) {
-  // With a single slot an entry could not choose between equally loaded
-  // engines.
+  // At least two slots: with a single slot an entry could not choose between
+  // equally loaded engines.
   constexpr int kLeast = 2;
   double own_slots = static_cast<double>(slots) / std::max(1, serving);
   return std::max(kLeast, static_cast<int>(std::ceil(own_slots * share)));
@@ -91,7 +91,7 @@
   return EstimatedLoad(u, now, policy) / std::max(1, u.info.slots);
 }
 
-// Returns whether this process's prefills at `u` are at their limit.
+// Returns whether this process has as many prefills at `u` as the limit allows.
 bool AtPrefillLimit(const UpstreamState& u, const PlacementRequest& request,
                     const PlacementPolicy& policy) {
   return !policy.first_available && request.shape == WorkShape::kPrefill &&
@@ -142,7 +142,8 @@
     return std::nullopt;
   Candidate s =
       ScoreCandidate(upstreams[*chosen], *chosen, request, now, 0, policy);
-  if (s.busy || !Usable(upstreams[*chosen], now, policy)) return std::nullopt;
+  if (s.busy || !MayReceiveRequests(upstreams[*chosen], now, policy))
+    return std::nullopt;
   return chosen;
 }
 
@@ -183,8 +184,8 @@
   if (u.reported_at == TimePoint{}) return own;
   Duration age = now - u.reported_at;
   if (age > policy.report_lifetime) return own;
-  // The reported load, corrected by the requests that this process has sent or
-  // finished since the report.
+  // The load that the upstream reported, corrected by the requests that this
+  // process has sent or finished since the report.
   double reported_now = std::max<double>(
       own, u.reported_load + u.in_flight - u.in_flight_at_report);
   double w = 1.0 - ToSeconds(age) / ToSeconds(policy.report_lifetime);
@@ -199,8 +200,8 @@
   });
 }
 
-bool Usable(const UpstreamState& u, TimePoint now,
-            const PlacementPolicy& policy) {
+bool MayReceiveRequests(const UpstreamState& u, TimePoint now,
+                        const PlacementPolicy& policy) {
   if (!u.listed || u.info.draining || u.at_own_limit || u.terminated)
     return false;
   if (u.no_send_slot || now < u.backoff_until) return false;
@@ -231,7 +232,7 @@
     // A requested backoff or rate limit holds even when no other upstream is
     // left.
     if (!u.reachable || u.no_send_slot || now < u.backoff_until) continue;
-    if (!Usable(u, now, policy)) {
+    if (!MayReceiveRequests(u, now, policy)) {
       if (!fallback || u.ejected_until < upstreams[*fallback].ejected_until) {
         fallback = i;
       }
@@ -287,7 +288,7 @@
     } else if (u.no_send_slot) {
       ++n.rate_limited;
     } else if (Contains(request.tried_ids, u.info.id) ||
-               !Usable(u, now, policy)) {
+               !MayReceiveRequests(u, now, policy)) {
       ++n.unusable;
     } else if (LoadShare(u, now, policy) >= request.max_load) {
       ++n.loaded;
@@ -324,7 +325,7 @@
   for (size_t i = 0; i < upstreams.size(); ++i) {
     const UpstreamState& u = upstreams[i];
     if (u.info.service != service || u.rank < decode_engines ||
-        !Usable(u, now, policy) || u.info.id == excluded_id) {
+        !MayReceiveRequests(u, now, policy) || u.info.id == excluded_id) {
       continue;
     }
     uint64_t h = StableHash(u.info.id, prefix_hash);
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -32,8 +32,9 @@
   // incarnation has terminated, even if it is still listed.
   bool terminated = false;
   int in_flight = 0;  // Number of requests of this process at the upstream.
-  // Last load report: number of requests that it states, number of requests of
-  // this process in flight at its arrival, and time of its arrival.
+  // Last load report of the upstream: the number of requests that it states,
+  // the number of requests of this process in flight at its arrival, and the
+  // time of its arrival.
   int reported_load = 0;
   int in_flight_at_report = 0;
   TimePoint reported_at{};
@@ -51,7 +52,8 @@
   // number ejects the upstream until `ejected_until`.
   int consecutive_failures = 0;
   TimePoint ejected_until{};
-  // Smoothed share of answers that were failures, and number of answers.
+  // Smoothed share of the upstream's answers that were failures, and number of
+  // its answers.
   double failure_share = 0;
   int answer_count = 0;
   // Time of the last data from the upstream, or of the first request in flight
@@ -76,8 +78,9 @@
   // limit of that number.
   int prefills_in_flight = 0;
   double prefill_limit = 2;
-  // Rank of the upstream among the ranked upstreams of its service, and their
-  // number. The rank is the same in every entry process.
+  // Position of the upstream in the order of its service's upstreams, and the
+  // number of upstreams in that order. The order is the same in every entry
+  // process.
   int rank = 0;
   int ranked_count = 1;
   // Estimated number of prompt tokens still to prefill, as of
@@ -110,8 +113,8 @@
   // requests while the first is saturated.
   int preferred_engines = 2;
   // Number of preferred engines of one prefix while less than hot_busy_share of
-  // the engines is saturated. In that case the prefix is hot, but the service
-  // as a whole is not overloaded.
+  // the engines is saturated: the prefix is in high demand, but the service as
+  // a whole is not overloaded.
   int hot_preferred_engines = 4;
   double hot_busy_share = 0.34;
   // A request is a long generation if its expected output is at least this
@@ -131,8 +134,8 @@
   double gap_high_share = 0.85;
   double gap_low_share = 0.4;
   double gap_decay_s = 8;
-  // The number of reserved engines changes only when it differs from the
-  // computed number by more than this.
+  // The number of reserved engines changes only when the newly computed number
+  // differs from it by more than this.
   double decode_hysteresis = 0.5;
   // Limit of concurrent prefills per engine. An engine prefills its prompts one
   // after another, so more than a few prompts only queue at the engine, where
@@ -144,8 +147,9 @@
   double prefill_backoff = 0.85;
   double prefill_limit_step = 0.1;
   double max_prefill_limit = 12;
-  // Cost, in shares of slots, of an engine reserved for the other work shape.
-  // Such an engine is used once the matching ones are busier by this much.
+  // Cost, in shares of slots, of an engine reserved for the other kind of
+  // engine work (prefill or decode). Such an engine is used once the engines
+  // for the request's own kind are busier by this much.
   double shape_mismatch_cost = 0.4;
   // Weight of the amount by which the failure share exceeds the average of the
   // service.
@@ -156,28 +160,27 @@
   // Cost, in shares of slots, of an upstream in another data centre. It only
   // breaks ties.
   double remote_cost = 0.01;
-  // Duration of the first ejection, and its maximum: each further failure in a
-  // row doubles the duration. Then the number of failures in a row that cause
-  // the first ejection.
+  // Duration of the first ejection and maximum duration; each further failure
+  // in a row doubles the duration. failures_to_eject: number of failures in a
+  // row that cause the first ejection.
   Duration first_ejection = Millis(500);
   Duration max_ejection = Millis(4000);
   int failures_to_eject = 2;
-  // Share of this process's part of an engine's slots from which the process
-  // sends the engine no further long generation; 0: no limit. After a loss of
+  // A process sends an engine no further long generation once it uses this
+  // share of its part of the engine's slots; 0: no limit. After a loss of
   // engines, the requests of all processes move to the few remaining engines
   // before any load report shows it, and an engine preempts requests beyond its
   // slots.
   double own_generations_share = 0.75;
-  // Upper bound for an engine with room, in shares of this process's part of
-  // the slots. Between own_generations_share and this bound, an engine is used
-  // only if a report no older than max_spare_report_age shows a load below
+  // Like own_generations_share, but for an engine with room: its last load
+  // report is no older than max_spare_report_age and shows a load below
   // spare_load_share. Entries receive uneven traffic: an entry that has used up
   // its part must not reject the most urgent requests while others leave their
   // part unused.
   double max_own_generations_share = 2;
   double spare_load_share = 0.75;
   Duration max_spare_report_age = Millis(500);
-  // Services with fewer engines than this reserve none for a work shape.
+  // Services with fewer engines than this reserve none for long generations.
   int min_engines_to_split = 2;
   // Load, in shares of slots, at which an upstream gets no more requests. Above
   // this load the upstream queues requests in its own order.
@@ -187,8 +190,8 @@
   // for the top tier. Without it, long requests of lower tiers can occupy every
   // slot for seconds.
   double reserved_top_tier_share = 0;
-  // Chooses the first upstream below its load limit (the baseline of
-  // comparisons).
+  // Placement only chooses the first upstream below its load limit. Used as the
+  // baseline of comparisons.
   bool first_available = false;
   // An upstream is a straggler if its event gap exceeds the median event gap of
   // its service by this factor. A straggler gets requests only when no other
@@ -220,11 +223,12 @@
   // because that upstream holds the state of earlier attempts.
   uint64_t pinned = 0;
   WorkShape shape = WorkShape::kPlain;
-  // Number of engines reserved for long generations: those of lowest rank.
+  // Number of engines reserved for long generations: the first ones in the
+  // order of the service's upstreams.
   int decode_engines = 0;
 };
 
-// Smoothed demand on the engines of one service.
+// Smoothed demand for the engines of one service.
 struct DecodeDemand {
   double generations_in_flight = 0;  // Number of long generations in flight.
   // Share of time in which long prompts had to wait.
@@ -266,14 +270,16 @@
 bool AcceptsGeneration(const UpstreamState& u, int slots, int serving,
                        TimePoint now, const PlacementPolicy& policy);
 
-// Returns the work shape of a request by its token counts (0: unknown).
+// Returns the kind of engine work of a request with these token counts (0:
+// unknown).
 WorkShape ClassifyWork(int64_t prompt_tokens, int64_t output_tokens,
                        const PlacementPolicy& policy);
 
-// Ranks the upstreams of each service, identically in every process.
+// Sets the position of each upstream in the order of its service's upstreams.
+// Every process computes the same order.
 void RankUpstreams(absl::Span<UpstreamState> upstreams);
 
-// Returns the number of ranked upstreams of `service`.
+// Returns the number of upstreams in the order of `service`.
 int CountRankedUpstreams(absl::Span<const UpstreamState> upstreams,
                          absl::string_view service);
 
@@ -281,9 +287,10 @@
 double EstimatedLoad(const UpstreamState& u, TimePoint now,
                      const PlacementPolicy& policy);
 
-// Returns whether `u` may get new requests at all.
-bool Usable(const UpstreamState& u, TimePoint now,
-            const PlacementPolicy& policy);
+// Returns whether `u` may get new requests, regardless of its load and of the
+// request.
+bool MayReceiveRequests(const UpstreamState& u, TimePoint now,
+                        const PlacementPolicy& policy);
 
 // Returns the index of the upstream for `request`, or nullopt when no upstream
 // may take it. Ejected or silent upstreams are used only when no other upstream
--- a/src/policy/quarantine.h
+++ b/src/policy/quarantine.h
@@ -56,9 +56,10 @@
   // The cause is also ambiguous if the request had not just started at each
   // crash, as most co-located requests had not.
   int min_crashes_if_ambiguous = 5;
-  // A crash counts separately only if the request was sent to that upstream
-  // after the previous crash: a power loss terminates many upstreams at once,
-  // whatever they run. This tolerance covers the difference between clocks.
+  // Tolerance for the difference between clocks in the following rule. A crash
+  // counts separately only if the request was sent to that upstream after the
+  // previous crash: a power loss terminates many upstreams at once, whatever
+  // they run.
   Duration clock_tolerance = Millis(5);
   // Terminations closer together than this have a common cause. A request that
   // was moved away from the first upstream after its termination may still have
@@ -101,7 +102,8 @@
   // Drops expired records. Call regularly.
   void Tick(TimePoint now);
 
-  // Whether the request is quarantined: it must not be sent to any upstream.
+  // Returns whether the request is quarantined, so that it must not be sent to
+  // any upstream.
   bool IsQuarantined(RequestFingerprint fingerprint) const {
     return quarantined_.count(fingerprint) > 0;
   }
--- a/src/policy/retry_budget.h
+++ b/src/policy/retry_budget.h
@@ -34,8 +34,8 @@
   // Consumes one retry. Returns false if none is left. `serving`: number of
   // processes that share the allowance.
   bool TryConsume(const RetryAllowance& a, int serving, TimePoint now) {
-    // Half of the slack may be spent at once; the same number of retries
-    // refills per window.
+    // Half of this process's part of `slack` may be spent at once; the same
+    // number of retries is refilled per window.
     double capacity = std::max(
         1.0, a.slack * kUsableAllowanceShare / 2 / std::max(1, serving));
     if (!initialized_) {
--- a/src/policy/routing_config.cc
+++ b/src/policy/routing_config.cc
@@ -10,10 +10,11 @@
 namespace medlarwalk {
 namespace {
 
-// Number of distinct account tiers within one route tier.
+// Number of account tiers that the priority ranks distinguish within one route
+// tier.
 constexpr int kNumAccountTiers = 8;
-// Upper bound of tiers: far above any tier in use, and low enough that ranks
-// fit in an int.
+// Upper bound of tiers: far above any tier in use, and low enough that priority
+// ranks fit in an int.
 constexpr Tier kMaxTier = 1'000'000;
 // Number of priorities that engines distinguish.
 constexpr int kNumEnginePriorities = 10;
@@ -22,7 +23,7 @@
   return std::clamp(tier, 0, kNumAccountTiers - 1);
 }
 
-// Returns the engine priority of each rank that may occur.
+// Returns the engine priority of each priority rank that may occur.
 std::map<Tier, int> EnginePriorities(const RoutingConfig& c) {
   std::set<Tier> route_tiers;
   std::set<Tier> account_tiers;
--- a/src/policy/routing_config.h
+++ b/src/policy/routing_config.h
@@ -75,7 +75,7 @@
   // Lookup tables derived by BuildConfigIndexes.
   std::unordered_map<std::string, size_t> account_of_key;
   std::unordered_map<std::string, std::vector<size_t>> routes_of_host;
-  std::map<Tier, int> engine_priority;  // Engine priority by request rank.
+  std::map<Tier, int> engine_priority;  // By priority rank of the request.
 };
 
 // Checks that all services are known, no two routes have the same host and
@@ -94,16 +94,16 @@
 // Returns the account that owns `key`, or nullptr.
 const AccountRule* FindAccount(const RoutingConfig& c, const std::string& key);
 
-// Returns the rank of a request; lower ranks are served first. Requests are
-// ranked by the tier of their route, then by the tier of their account: batch
-// work of a preferred account must not delay or displace interactive requests
-// of another account.
+// Returns the priority rank of a request; requests of lower rank are served
+// first. Requests are ranked by the tier of their route, then by the tier of
+// their account: batch work of a preferred account must not delay or displace
+// interactive requests of another account.
 Tier RequestRank(Tier route_tier, Tier account_tier);
 
-// Returns the priority to send to engines for `rank`, from 0 (highest) to 9, in
-// the order of the ranks that occur in the configuration. If there are more
-// ranks than priorities, the tiers of accounts are ignored. Precondition:
-// BuildConfigIndexes has run.
+// Returns the priority to send to engines for the priority rank `rank`, from 0
+// (highest) to 9, in the order of the ranks that occur in the configuration. If
+// there are more ranks than priorities, the tiers of accounts are ignored.
+// Precondition: BuildConfigIndexes has run.
 int EnginePriority(const RoutingConfig& c, Tier rank);
 
 // Chooses a service of the route at random by weight; `draw` is uniform in [0,
--- a/src/policy/send_slots.cc
+++ b/src/policy/send_slots.cc
@@ -29,8 +29,9 @@
                                  static_cast<uint64_t>(process_count));
   int index = (query.process.index + offset) % process_count;
   Millis after = query.time - kOpenTime;
-  // After the clock is set back, `taken` may lie far in the future. It is
-  // ignored then: otherwise no slot would open until the clock catches up.
+  // After the clock is set back, `taken` may lie far in the future. Such a
+  // `taken` is ignored: otherwise no slot would open until the clock catches
+  // up.
   if (taken && *taken - query.time < kOpenTime) after = std::max(after, *taken);
   // Adds half a millisecond because slots begin at whole milliseconds: the
   // slot that begins at `after` must be excluded.
--- a/src/policy/tier_admission.cc
+++ b/src/policy/tier_admission.cc
@@ -28,7 +28,7 @@
   return false;
 }
 
-bool TierAdmission::Admits(Tier tier, TimePoint now) const {
+bool TierAdmission::MayStart(Tier tier, TimePoint now) const {
   Tier most_urgent_rejected;
   return !MostUrgentRejectedTier(now, &most_urgent_rejected) ||
          tier <= most_urgent_rejected;
--- a/src/policy/tier_admission.h
+++ b/src/policy/tier_admission.h
@@ -17,13 +17,14 @@
 
 // Parameters of tier admission.
 struct TierAdmissionPolicy {
-  // A tier counts as rejected while at least this share of its requests finds
-  // no slot. A single rejection blocks other tiers only briefly.
+  // A tier counts as rejected while its rejected share, the smoothed share of
+  // its requests that find no slot, is at least this. A single rejection blocks
+  // other tiers only briefly.
   double min_rejected_share = 0.02;
-  // The share is smoothed over smoothing_requests requests of the tier, so that
-  // entries with few and with many requests per second decide alike. It decays
-  // with the time constant decay_s, so that it fades when the tier gets no more
-  // requests.
+  // The rejected share is smoothed over smoothing_requests requests of the
+  // tier, so that entries with few and with many requests per second decide
+  // alike. It decays with the time constant decay_s, so that it fades when the
+  // tier gets no more requests.
   double smoothing_requests = 30;
   double decay_s = 1.5;
   // Upper bound of the rejected share. With this bound, blocked tiers continue
@@ -45,7 +46,7 @@
     RecordOutcome(tier, true, now);
   }
   // Returns whether a request of `tier` may start.
-  bool Admits(Tier tier, TimePoint now) const;
+  bool MayStart(Tier tier, TimePoint now) const;
   // Returns whether any tier counts as rejected, and sets `*tier` to the most
   // urgent one.
   bool MostUrgentRejectedTier(TimePoint now, Tier* tier) const;
--- a/src/policy/upstream_list.cc
+++ b/src/policy/upstream_list.cc
@@ -11,7 +11,7 @@
 namespace {
 
 // Prefixes each text with its length, so that different upstreams never yield
-// the same input.
+// the same hash input.
 uint64_t HashOf(const UpstreamInfo& u) {
   std::string text;
   for (const std::string* s :
@@ -23,7 +23,7 @@
   return StableHash(text);
 }
 
-// Returns the version of a list. Never 0, which stands for no list.
+// Returns the version of a list. Never 0, which means that there is no list.
 int64_t VersionOf(uint64_t sum, size_t entry_count) {
   std::array<uint64_t, 2> both = {sum, entry_count};
   uint64_t h = StableHash(absl::string_view(
--- a/src/policy/waiting_queue.h
+++ b/src/policy/waiting_queue.h
@@ -20,14 +20,14 @@
 // Parameters of the waiting queue.
 struct WaitingPolicy {
   // Maximum wait for a slot, in shares of the latency target of the request. In
-  // overload every served request has waited this long, which leaves the engine
-  // less time. A small share is better: a caller that is rejected early has
-  // most of its target left for another entry.
+  // overload every served request has waited this long, which leaves less of
+  // the target for the engine. A small share is better: a caller that is
+  // rejected early has most of its target left for another entry.
   double max_wait_target_share = 0.1;
   // Maximum number of waiting requests of one service.
   size_t max_waiting = 256;
-  // Serves the highest tier first. If false, serves requests in order of
-  // arrival.
+  // If true, serves the most urgent tier first; if false, serves requests in
+  // order of arrival.
   bool tier_order = true;
   // Rejects a request on arrival if the recent rate of dispatches shows that it
   // would not get a slot in time.
--- a/src/serving.cc
+++ b/src/serving.cc
@@ -147,7 +147,7 @@
   if (!in_sync) return;
   gateway_.RecordConfigCurrent(clock_.Now() - Millis(r.sync_age_ms));
   if (r.unix_ms > 0) group_time_.RecordReceivedTime(r.unix_ms, clock_.Now());
-  usage_.DropThrough(r.usage_committed_through);
+  usage_.DropWindowsThrough(r.usage_committed_through);
   if (r.serving_count > 0) {
     entry_count_ = r.serving_count;
     gateway_.SetEntryCount(r.serving_count, r.serving_index);
--- a/src/usage_reporter.cc
+++ b/src/usage_reporter.cc
@@ -99,12 +99,12 @@
         committed_through_,
         own_replica->duties().FindSubject(kUsageSubject).committed_through);
   }
-  usage_table_.DropThrough(committed_through_);
+  usage_table_.DropWindowsThrough(committed_through_);
   if (call_in_flight_ && now - called_at_ > kCallTimeout) AbortCall(now);
   Replica* r = LeadingReplica();
   leadership_.UpdateLeadership(r != nullptr, r ? r->term() : 0, now);
   if (!r) return;
-  if (deliveries_term_ != r->term()) deliveries_.Reset();
+  if (deliveries_term_ != r->term()) deliveries_.ClearDeliveries();
   deliveries_term_ = r->term();
   CommitDueWindow(now);
   SendDueReport(now);
@@ -120,14 +120,14 @@
       WindowToCommit(subject, usage_table_, *unix_ms, options_.policy);
   if (!window) return;
   UsageCounts counts = usage_table_.SumByAccount(*window);
-  LogEvent(
-      "usage_fixing",
-      {{"window", *window},
-       {"accounts", counts.size()},
-       {"processes", usage_table_.CountProcesses(*window)},
-       {"since_end_ms", SinceEnd(*window, *unix_ms, options_.policy).count()},
-       {"term", r->term()},
-       {"done_through", deliveries_.AcceptedThrough(subject)}});
+  LogEvent("usage_fixing",
+           {{"window", *window},
+            {"accounts", counts.size()},
+            {"processes", usage_table_.CountProcesses(*window)},
+            {"since_end_ms",
+             TimeSinceWindowEnd(*window, *unix_ms, options_.policy).count()},
+            {"term", r->term()},
+            {"done_through", deliveries_.AcceptedThrough(subject)}});
   committing_ = true;
   DutyRecord record{kUsageSubject, *window, EncodeUsage(counts),
                     deliveries_.AcceptedThrough(subject)};
@@ -245,7 +245,8 @@
        {"status", status_},
        {"ms", ToMs(now - called_at_)},
        {"since_end_ms",
-        unix_ms ? SinceEnd(window, *unix_ms, options_.policy).count() : -1}});
+        unix_ms ? TimeSinceWindowEnd(window, *unix_ms, options_.policy).count()
+                : -1}});
 }
 
 }  // namespace medlarwalk
--- a/test/duty/duty_test.cc
+++ b/test/duty/duty_test.cc
@@ -64,7 +64,8 @@
 }
 
 // Guards against calls by hosts in the order A, B, A within one lease. Host A
-// leads, B takes over and A leads again, all within a second.
+// is the leader, B takes over and A becomes the leader again, all within a
+// second.
 TEST(duty, NewLeaderWaitsForPreviousHolderToStop) {
   DutyLeadershipPolicy p;
   p.lease = 3 * kSecond;
@@ -122,9 +123,9 @@
   CHECK_TRUE(leadership.UsableToken(now).has_value());
 }
 
-// Guards against wall clocks that jump on some hosts, including the leader's.
-// If the group's time followed such a clock, the windows of all processes would
-// move with it.
+// Guards against a group time that follows a wall clock that jumps, on some
+// hosts or on the leader. The windows of all processes would move with that
+// clock.
 TEST(duty, ClockJumpsOfSomeHostsDoNotMoveGroupTime) {
   GroupTime t;
   TimePoint now{};
@@ -148,8 +149,8 @@
   }
 }
 
-// Guards against a follower whose time lags by the delay of a lossy link, and
-// against a follower that uses its own wall clock.
+// Guards against a follower whose group time lags by the delay of a lossy link,
+// and against a follower that uses its own wall clock.
 TEST(duty, DelayedUpdateDoesNotMoveGroupTime) {
   GroupTime t;
   TimePoint now{};
@@ -184,8 +185,8 @@
   LONGS_EQUAL(true_ms(), *t.UnixMsAt(now));
 }
 
-// Guards against requests that are counted twice. An entry reports the same
-// counts twice, or through a second process after the first one failed.
+// Guards against requests that are counted twice. An entry reports its counts
+// to one process and, after that process failed, again to another.
 TEST(duty, MergesCountsByMaximum) {
   UsageTable entry;
   for (int i = 0; i < 3; ++i) entry.CountRequest(1, 10, "a");
@@ -220,7 +221,7 @@
   UsageTable table(4);
   for (int i = 0; i < 1000; ++i) table.CountRequest(1, 10, "a");
   LONGS_EQUAL(1, static_cast<long>(table.size()));
-  table.DropThrough(10);
+  table.DropWindowsThrough(10);
   table.CountRequest(1, 10, "a");
   LONGS_EQUAL(0, static_cast<long>(table.size()));
   for (int64_t w = 11; w < 30; ++w) table.CountRequest(1, w, "a");
@@ -298,9 +299,9 @@
 
 namespace {
 
-// A simulated group that reports to a platform, on a manual clock. Each
-// proposal contains different counts, so that two different reports of one
-// window are detected.
+// A simulated group of replicas that reports to a platform, on a manual clock.
+// Each proposal contains different counts, so that the test detects two
+// different reports of one window.
 class ReportingGroup {
  public:
   explicit ReportingGroup(uint64_t seed)
--- a/test/policy/limit_policy_test.cc
+++ b/test/policy/limit_policy_test.cc
@@ -58,8 +58,9 @@
 
 TEST_GROUP(limit_policy){};
 
-// Guards against a burst above the rate limit. Hundreds of entries each save up
-// their share of the limit and spend it at the same moment.
+// Guards against a burst above the rate limit. Such a burst arises when
+// hundreds of entries each save up their share of the limit and spend it at the
+// same moment.
 TEST(limit_policy, ProcessesTogetherKeepTheLimit) {
   for (double per_s : {0.3, 1.0, 2.3, 7.7, 40.0}) {
     for (int serving : {1, 2, 8, 9, 33, 105, 362}) {
@@ -116,7 +117,7 @@
   DOUBLES_EQUAL(2.0, *table.Find("a")->per_s, 0);
   table.MergePublished({MakeRecord("a", std::nullopt, 200, 0)});
   CHECK_TRUE(table.Find("a") == nullptr);
-  // An older record arrives again, through another process.
+  // A record with an earlier time arrives, through another process.
   table.MergePublished({MakeRecord("a", 2.0, 150, 0)});
   CHECK_TRUE(table.Find("a") == nullptr);
 }
--- a/test/policy/placement_test.cc
+++ b/test/policy/placement_test.cc
@@ -41,10 +41,10 @@
 
 TEST_GROUP(placement){};
 
-// Failure: long generations exceed their event gap target. Load pattern: long
-// prompts and long generations in equal number; a prefill delays every stream
-// on the same engine. Engines are reserved for long generations, and entries
-// choose the same ones without communication.
+// Guards against long generations that exceed their event gap target because
+// long prompts run on the same engines: each prefill delays every stream of its
+// engine. All entries must reserve the same engines for long generations,
+// without communication.
 TEST(placement, LongGenerationsAndLongPromptsUseSeparateEngines) {
   std::vector<UpstreamState> upstreams = Engines(12);
   std::mt19937_64 random(1);
@@ -77,10 +77,10 @@
   LONGS_EQUAL(3, upstreams[*at].rank);
 }
 
-// Failure: the same prefix is prefilled on many engines. Load pattern: many
-// requests about a hundred subjects. Each subject must have one preferred
-// engine while that engine is not clearly busier than the others, and one
-// substitute while the preferred engine is ejected.
+// Guards against the prefill of one prefix on many engines. Requests about a
+// hundred subjects arrive; each subject must have one preferred engine while
+// that engine is not clearly busier than the others, and one substitute while
+// the preferred engine is ejected.
 TEST(placement, EachSharedPrefixHasOnePreferredEngine) {
   std::vector<UpstreamState> upstreams = Engines(12);
   std::mt19937_64 random(2);
@@ -104,10 +104,9 @@
   }
 }
 
-// Failure: at the highest load prefixes are prefilled repeatedly, and each
-// prefill adds load. Load pattern: more long prompts than the engines can
-// prefill. A request whose preferred engines are saturated must wait for them
-// instead of going to any engine with room.
+// Guards against repeated prefills of a prefix when more long prompts arrive
+// than the engines can prefill. A request whose preferred engines are saturated
+// must wait for them instead of going to any engine with room.
 TEST(placement, RequestsWaitForSaturatedPreferredEngines) {
   std::vector<UpstreamState> upstreams = Engines(12);
   for (size_t i = 0; i < upstreams.size(); i += 2)
@@ -122,9 +121,9 @@
   CHECK_TRUE(placed.size() <= 2);
 }
 
-// Failure: a class is not served while a less urgent class is. Load pattern:
-// requests with short and with long shared prefixes at once. A request with a
-// short shared prefix must go to any engine instead of waiting for its
+// Guards against a class that is not served while a less urgent class is.
+// Requests with short and with long shared prefixes arrive at once; a request
+// with a short shared prefix must go to any engine instead of waiting for its
 // preferred engines.
 TEST(placement, ShortSharedPrefixesGoToAnyEngine) {
   std::vector<UpstreamState> upstreams = Engines(12);
@@ -189,23 +188,22 @@
 TEST(placement, RepeatedFailuresEjectForLonger) {
   UpstreamState u = Engines(1)[0];
   RecordFailure(u, kNow, true, kPolicy);
-  CHECK_TRUE(Usable(u, kNow, kPolicy));
+  CHECK_TRUE(MayReceiveRequests(u, kNow, kPolicy));
   RecordFailure(u, kNow, true, kPolicy);
-  CHECK_FALSE(Usable(u, kNow, kPolicy));
+  CHECK_FALSE(MayReceiveRequests(u, kNow, kPolicy));
   Duration first = u.ejected_until - kNow;
   RecordFailure(u, kNow, true, kPolicy);
   CHECK_TRUE(u.ejected_until - kNow > first);
   RecordSuccess(u, kNow);
-  CHECK_TRUE(Usable(u, kNow, kPolicy));
+  CHECK_TRUE(MayReceiveRequests(u, kNow, kPolicy));
 }
 
-// Failure: long generations exceed their event gap target although engines are
-// reserved for them. Load pattern: nine entries share nine engines with twenty
-// long generations, about two per entry. Cause: each entry estimates the total
-// demand from its own two generations and reserves two or three engines, so the
-// third engine gets long prompts from some entries and generations from others.
-// With the demand taken from load reports, all entries must reserve the same
-// engines.
+// Guards against entries that reserve different numbers of engines, so that
+// some send long prompts to an engine where others send long generations. Nine
+// entries share nine engines with twenty long generations. An entry that
+// estimates the demand from its own two generations reserves two or three
+// engines; with the demand taken from load reports, all entries must reserve
+// the same engines.
 TEST(placement, EntriesReserveTheSameDecodeEngines) {
   std::mt19937_64 random(1);
   std::uniform_int_distribution<int> age_ms(0, 800);
@@ -230,11 +228,10 @@
   }
 }
 
-// Failure: long generations exceed their event gap target on engines with slow
-// prefill. Load pattern: prompts of long generations arrive in bursts of three,
-// and two bursts together block an engine for longer than the target. Cause:
-// the number of engines reserved by the request count alone is too small. A
-// third of the engines must be reserved while event gaps are near their target.
+// Guards against too few reserved engines when prefill is slow. Prompts of long
+// generations arrive in bursts of three, and two bursts block an engine for
+// longer than the event gap target. A third of the engines must be reserved
+// while event gaps are near their target; the request count alone gives fewer.
 TEST(placement, EventGapsNearTargetReserveMoreEngines) {
   DecodeDemand d;
   d.generations_in_flight = 20;
@@ -250,11 +247,11 @@
   LONGS_EQUAL(2, ComputeDecodeEngines(d, 3, 64, 9, kPolicy));
 }
 
-// Failure: an engine preempts requests while less urgent requests keep running.
-// Load pattern: ten of 40 engines are lost in a burst of long generations; each
+// Guards against an overloaded engine that preempts requests after a loss of
+// engines. Ten of 40 engines are lost in a burst of long generations, and each
 // of 24 entries moves twelve requests within half a second, before any load
-// report. Cause: every entry counts only its own requests at the few engines
-// reserved for long generations, so one engine of 64 slots gets 77 requests.
+// report. If every entry counts only its own requests at the few engines
+// reserved for long generations, one engine of 64 slots gets 77 requests.
 TEST(placement, EngineLossDoesNotOverfillRemainingEngines) {
   constexpr int kEntries = 24;
   constexpr int kSlots = 64;
@@ -282,12 +279,12 @@
   CHECK_TRUE(*std::max_element(at.begin(), at.end()) <= kSlots);
 }
 
-// Failure: some entries reject the most urgent generations while others leave
-// their part of the engines unused. Load pattern: eight times the usual
-// traffic, and a fifth more than that at some entries. An engine that recently
-// reported room must get more than the entry's part of its slots. An engine
-// that is nearly full or has no recent report must not, and no engine may get
-// more than two parts.
+// Guards against entries that reject the most urgent generations while others
+// leave their part of the engines unused. At eight times the usual traffic some
+// entries get a fifth more than the others. An engine that recently reported
+// room must get more than the entry's part of its slots, but never more than
+// two parts; an engine that is nearly full or has no recent report must not get
+// more than one part.
 TEST(placement, EngineThatReportsRoomGetsMoreGenerations) {
   constexpr int kEntries = 24;
   constexpr int kSlots = 64;
@@ -306,8 +303,8 @@
   CHECK_TRUE(u.in_flight <= 2 * kSlots / kEntries + 1);
 }
 
-// Failure: new requests reach an engine that is draining or whose agent does
-// not answer, because placement ignores these states.
+// Guards against new requests to an engine that is draining or whose agent does
+// not answer.
 TEST(placement, DrainingOrUnreachableUpstreamsGetNoWork) {
   std::vector<UpstreamState> upstreams = Engines(3);
   upstreams[0].info.draining = true;
@@ -323,9 +320,9 @@
                   .has_value());
 }
 
-// Failure: one engine is overloaded while its load report shows it idle.
-// Sequence: a burst arrives before the next load report. The exact count of the
-// entry's own requests must take precedence over the report.
+// Guards against an engine that is overloaded while its load report shows it
+// idle. A burst arrives before the next load report, so the entry's exact count
+// of its own requests must take precedence over the report.
 TEST(placement, OwnRequestsCorrectADelayedLoadReport) {
   std::vector<UpstreamState> upstreams = Engines(3);
   for (UpstreamState& u : upstreams) u.reported_at = kNow - Millis(100);
@@ -338,10 +335,9 @@
   }
 }
 
-// Failure: one slow engine increases the event gaps of every class. Sequence:
-// the gaps between the events of the engine grow, and nothing detects it. The
-// engine must be marked as a straggler and avoided while other engines can
-// serve.
+// Guards against a slow engine that increases the event gaps of every class.
+// When the event gaps of the engine grow, it must be marked as a straggler and
+// avoided while other engines can serve.
 TEST(placement, AStragglerIsMarkedAndAvoided) {
   PlacementPolicy policy;
   policy.straggler_factor = 2;
@@ -373,10 +369,10 @@
       ChooseUpstream(upstreams, request, kNow, 0.1, kPolicy).has_value());
 }
 
-// Failure: a request repeated with its idempotency key runs twice. Sequence:
-// the caller repeats the request while the upstream that ran it is busy, and
-// the request goes to another upstream, which does not know the key. The
-// repeated request must wait for its pinned upstream instead.
+// Guards against running a request twice that is repeated with its idempotency
+// key. The upstream that ran it is busy when the caller repeats it, and another
+// upstream does not know the key. The repeated request must wait for its pinned
+// upstream.
 TEST(placement, PinnedRequestUsesOnlyItsUpstream) {
   std::vector<UpstreamState> upstreams = Engines(3);
   PlacementRequest request = MakeRequest(WorkShape::kPlain);
@@ -395,12 +391,10 @@
       ChooseUpstream(upstreams, request, kNow, 0.3, kPolicy).has_value());
 }
 
-// Failure: an engine prefills a shared prefix although another engine holds it.
-// Load pattern: many entries, each with few requests per subject; the first
-// preferred engine is saturated and a request goes to the second. Cause: the
-// engine to copy from was chosen by the first part of the prompt, which
-// placement does not use. The engine to copy from must be the other preferred
-// engine of the prefix, never the engine that gets the request.
+// Guards against the prefill of a shared prefix that another engine holds. The
+// first preferred engine is saturated and a request goes to the second. The
+// engine to copy from must be the other preferred engine of the prefix, never
+// the engine that gets the request.
 TEST(placement, CopySourceIsTheOtherPreferredEngine) {
   std::vector<UpstreamState> upstreams = Engines(12);
   for (uint64_t subject = 1; subject <= 50; ++subject) {
@@ -420,11 +414,11 @@
   }
 }
 
-// Failure: while an engine is replaced, long prompts and long generations mix
-// on all engines. Sequence: the engine listed last starts to drain. Cause: the
-// number of engines was taken from the last upstream in the list, and it is 0
-// there because a draining upstream is not ranked. The number must count all
-// engines that are not draining.
+// Guards against long prompts and long generations that mix on all engines
+// while an engine is replaced. The engine listed last starts to drain and
+// leaves the order of the service's upstreams. The number of engines must count
+// all engines that are not draining; taken from the last listed upstream, it
+// would be 0.
 TEST(placement, DrainingEngineDoesNotChangeRankedCount) {
   std::vector<UpstreamState> upstreams = Engines(9);
   LONGS_EQUAL(9, CountRankedUpstreams(upstreams, "engine"));
@@ -434,11 +428,11 @@
   LONGS_EQUAL(0, CountRankedUpstreams(upstreams, "another"));
 }
 
-// Failure: at the highest load a fifth of the long generations exceeds its
-// event gap target. Load pattern: a third of the engines takes 1.3 times as
-// long per token; a concurrent prefill delays a generation by 137 ms on a fast
-// engine and by 180 ms on a slow one, with a target of 150 ms. Cause: placement
-// treats all engines alike.
+// Guards against long generations on slow engines when fast engines have room.
+// A third of the engines takes 1.3 times as long per token; a concurrent
+// prefill delays a generation by 137 ms on a fast engine and by 180 ms on a
+// slow one, with a target of 150 ms. When placement treated all engines alike,
+// a fifth of the long generations exceeded the target at the highest load.
 TEST(placement, LongGenerationsPreferFastEngines) {
   std::vector<UpstreamState> upstreams = Engines(12);
   for (size_t i = 0; i < upstreams.size(); ++i) {
@@ -474,9 +468,9 @@
   CHECK_TRUE(slow_taken);
 }
 
-// Failure: engines are wrongly marked as slow. Cases: few engines with a known
-// pace, all engines busy, or events that were delayed on their way and arrived
-// together.
+// Guards against engines that are wrongly marked as slow: when few engines have
+// a known pace, when all engines are busy, or when events were delayed on their
+// way and arrived together.
 TEST(placement, BusyOrDelayedEnginesAreNotMarkedSlow) {
   std::vector<UpstreamState> upstreams = Engines(12);
   RecordDecodePace(upstreams[0], Millis(30));
--- a/test/policy/prefill_limiter_test.cc
+++ b/test/policy/prefill_limiter_test.cc
@@ -9,11 +9,10 @@
 
 TEST_GROUP(prefill_limiter){};
 
-// Failure: at the highest load every long prompt is late. Load pattern: 24
-// entries send prompts at 1.5 times the capacity of 38 engines; each entry uses
-// a single engine only every few seconds. The limit must fall until first
-// events are in time, and rise again only while the number of prompts is at the
-// limit.
+// Guards against late first events of every long prompt in overload. 24 entries
+// send prompts at 1.5 times the capacity of 38 engines; each entry uses a
+// single engine only every few seconds. The limit must fall until first events
+// are in time, and rise again only while the number of prompts is at the limit.
 TEST(prefill_limiter, LimitFollowsFirstEventsOfAllEngines) {
   PrefillLimiterPolicy policy;
   PrefillLimiter limiter(policy);
@@ -30,10 +29,10 @@
   CHECK_TRUE(limiter.limit() > low + 2);
 }
 
-// Failure: a class is rejected while a less urgent class is served. Load
-// pattern: both classes together exceed the capacity. Less urgent prompts in
-// flight must not block more urgent ones, but more urgent prompts must block
-// less urgent ones.
+// Guards against a class that is rejected while a less urgent class is served.
+// Both classes together exceed the capacity. Less urgent prompts in flight must
+// not block more urgent ones, but more urgent prompts must block less urgent
+// ones.
 TEST(prefill_limiter, LessUrgentPromptsDoNotBlockMoreUrgentOnes) {
   PrefillLimiterPolicy policy;
   PrefillLimiter limiter(policy);
@@ -56,12 +55,12 @@
   CHECK_TRUE(limiter.limit() > policy.initial_limit / 2);
 }
 
-// Failure: streams that began in time are interrupted at their deadline. Load
-// pattern: for a minute, twelve long prompts per second arrive at an engine
+// Guards against streams that begin in time but are interrupted at their
+// deadline. For a minute, twelve long prompts per second arrive at an engine
 // that prefills ten per second, 100 ms each; a token decoded during a prefill
-// takes ten times as long. Cause: a limit that lets prompts queue at the engine
-// for half of their target keeps the engine in prefill without a break. The
-// limit must keep that queue short and the engine busy.
+// takes ten times as long. A limit that lets prompts queue for half of their
+// target would keep the engine in prefill without a break: the limit must keep
+// the queue short and the engine busy.
 TEST(prefill_limiter, KeepsTheQueueAtTheEngineShort) {
   constexpr auto kPrefillTime = Millis(100);
   constexpr auto kTarget = Millis(2000);
--- a/test/policy/prefix_cache_index_test.cc
+++ b/test/policy/prefix_cache_index_test.cc
@@ -17,8 +17,8 @@
 
 TEST_GROUP(prefix_cache_index){};
 
-// Failure: the same parts are prefilled on one engine after another. The
-// longest leading run of parts determines the engine to copy from: the engine
+// Guards against the prefill of the same parts on one engine after another. The
+// engine to copy from must hold the longest leading run of parts: the engine
 // that holds the subject if one is known, otherwise one that holds the
 // document. The last part of a request is never shared.
 TEST(prefix_cache_index, FindsTheLongestLeadingRun) {
--- a/test/policy/quarantine_test.cc
+++ b/test/policy/quarantine_test.cc
@@ -24,7 +24,7 @@
 // Time from a crash to the next sending.
 constexpr auto kResendDelay = Millis(200);
 
-// Returns a crash that occurred `after` the request was sent at `sent`.
+// Returns a crash at the time `sent` + `after`; the request was sent at `sent`.
 Crash MakeCrash(TimePoint sent, Duration after, bool just_started = true) {
   return Crash{0, sent, sent + after, just_started, false};
 }
@@ -95,9 +95,9 @@
 }
 
 // Guards against a quarantine after one power loss. A lookup that many callers
-// send ran at four upstreams that lost power together, and each termination
-// counted as a crash. They must not count separately, as no upstream received
-// the lookup after another one had terminated.
+// send ran at four upstreams that lost power together. The four terminations
+// must not count separately, as no upstream received the lookup after another
+// one had terminated.
 TEST(quarantine, CountsSimultaneousCrashesOnce) {
   for (int n = 1; n <= 4; ++n) {
     q.RecordCrash(kOther, absl::StrCat("i-", n),
@@ -107,11 +107,10 @@
 }
 
 // Guards against the quarantine of a long generation that was in flight at
-// three unrelated crashes. Two engines terminate at the same moment: the
-// request is moved from the first to the second before the termination of the
-// second is known, and is interrupted again. The third engine terminates when
-// the request has run there for seconds. A request that crashes upstreams late
-// is still quarantined, after two more crashes.
+// three crashes that it did not cause. Two engines terminate at the same moment
+// while the request is moved from the first to the second; the third engine
+// terminates when the request has run there for seconds. A request that crashes
+// upstreams late is still quarantined, after two more crashes.
 TEST(quarantine, RequiresMoreCrashesOfMovedOrRunningRequests) {
   q.RecordCrash(kOther, "i-1", MakeCrash(now, kTimeToCrash));
   q.RecordCrash(kOther, "i-2", MakeCrash(now + kTimeToCrash, Millis(1)));
@@ -129,9 +128,9 @@
 }
 
 // Guards against the quarantine of a generation that was in flight at three
-// power losses, each of which terminated several engines. The generation cannot
-// have terminated the engines that did not have it. It must be cleared when the
-// records of those engines arrive later.
+// power losses. Each power loss also terminated engines that did not have the
+// generation. The generation must be cleared when the crash records of those
+// engines arrive later.
 TEST(quarantine, ClearsCrashesThatCoincideWithOtherTerminations) {
   for (int n = 1; n <= 3; ++n) CrashUpstream(n, {kOther});
   CHECK_TRUE(q.IsQuarantined(kOther));
@@ -230,9 +229,9 @@
 }
 
 // Guards against a published set that is too large or omits quarantined
-// requests. After an hour of crashes, hundreds of requests were in flight at
-// two crashes each. The published set must stay small and contain the
-// quarantined requests, even if their records are old.
+// requests. After an hour of crashes, hundreds of requests were each in flight
+// at two crashes. The published set must stay small and contain the quarantined
+// requests, even if their records are old.
 TEST(quarantine, LimitsPublishedRecords) {
   for (int n = 1; n <= 3; ++n) CrashUpstream(n, {kCrashing});
   for (RequestFingerprint p = 10; p < 1000; ++p) {
--- a/test/policy/tier_admission_test.cc
+++ b/test/policy/tier_admission_test.cc
@@ -17,12 +17,11 @@
 
 TEST_GROUP(tier_admission){};
 
-// Failure: 74% of a tier are rejected while the tier below it starts requests
-// every second. Load pattern: a burst of six times the traffic at one entry;
-// requests of tier 1 wait for 80 ms, those of tier 2 for 150 ms. Sequence: all
-// waiting requests of tier 1 expire, and the next free slot goes to tier 2
-// because only tier 2 is waiting. A tier with rejections must block less urgent
-// tiers.
+// Guards against the rejection of a tier while the tier below it starts
+// requests. In a burst of six times the traffic at one entry, requests of tier
+// 1 wait for 80 ms and those of tier 2 for 150 ms. All waiting requests of tier
+// 1 expire, and the next free slot goes to tier 2: 74% of tier 1 were rejected.
+// A tier with rejections must block less urgent tiers.
 TEST(tier_admission, NoSlotGoesToALessUrgentTierDuringRejections) {
   for (bool with_admission : {false, true}) {
     std::mt19937 random(7);
@@ -52,7 +51,7 @@
       bool slot_free = random() % 80 == 0;
       if (!slot_free || queue.empty()) continue;
       Tier first = queue[0].tier;
-      if (with_admission && !admission.Admits(first, now)) continue;
+      if (with_admission && !admission.MayStart(first, now)) continue;
       admission.RecordDispatch(first, now);
       ++started[first];
       queue.erase(queue.begin());
@@ -69,29 +68,29 @@
 // A tier with rejections does not block itself or more urgent tiers.
 TEST(tier_admission, SameAndMoreUrgentTiersContinue) {
   TierAdmission admission(kPolicy);
-  CHECK_TRUE(admission.Admits(5, kNow));
+  CHECK_TRUE(admission.MayStart(5, kNow));
   for (int i = 0; i < 5; ++i) admission.RecordRejection(2, kNow);
   Tier tier = 0;
   CHECK_TRUE(admission.MostUrgentRejectedTier(kNow, &tier));
   CHECK_EQUAL(2, tier);
-  CHECK_TRUE(admission.Admits(0, kNow));
-  CHECK_TRUE(admission.Admits(2, kNow));
-  CHECK_FALSE(admission.Admits(3, kNow));
+  CHECK_TRUE(admission.MayStart(0, kNow));
+  CHECK_TRUE(admission.MayStart(2, kNow));
+  CHECK_FALSE(admission.MayStart(3, kNow));
 }
 
-// Failure: a class gets no slots for seconds although engines are free.
-// Sequence: a burst of the tier above it has ended; that tier has no more
+// Guards against a class that gets no slots for seconds although engines are
+// free. A burst of the tier above it has ended, and that tier has no more
 // rejections or no more requests at all. The blocked tiers must continue three
 // seconds after the last rejection.
 TEST(tier_admission, BlockEndsSoonAfterABurst) {
   for (bool more_arrive : {false, true}) {
     TierAdmission admission(kPolicy);
     for (int i = 0; i < 500; ++i) admission.RecordRejection(0, kNow);
-    CHECK_FALSE(admission.Admits(1, kNow + Millis(1000)));
+    CHECK_FALSE(admission.MayStart(1, kNow + Millis(1000)));
     for (int ms = 0; more_arrive && ms < 3000; ms += 300) {
       admission.RecordDispatch(0, kNow + Millis(ms));
     }
-    CHECK_TRUE(admission.Admits(1, kNow + Millis(3000)));
+    CHECK_TRUE(admission.MayStart(1, kNow + Millis(3000)));
   }
 }
 
@@ -102,7 +101,7 @@
   for (int i = 0; i < 200; ++i) admission.RecordDispatch(0, now += Millis(10));
   admission.RecordRejection(0, now);
   for (int i = 0; i < 20; ++i) admission.RecordDispatch(0, now += Millis(10));
-  CHECK_TRUE(admission.Admits(1, now));
+  CHECK_TRUE(admission.MayStart(1, now));
 }
 
 // When the prefill limit is reached, only the least urgent prompts wait; more
--- a/test/policy/upstream_list_test.cc
+++ b/test/policy/upstream_list_test.cc
@@ -116,10 +116,10 @@
   CHECK_TRUE(a.version() != 0);
 }
 
-// Guards against followers that hold a list that never existed. Differences are
-// sent to two followers through the codec; some are lost, duplicated or
-// reordered. The followers request updates from either of two sources, one of
-// which misses updates for a while. A follower must always hold a list that
+// Guards against followers that hold a list that never existed. Two followers
+// receive differences through the codec, of which some are lost, duplicated or
+// reordered, and request updates from either of two sources, one of which
+// misses updates for a while. Each follower must always hold a list that
 // existed, and finally the newest list.
 TEST(upstream_list, DifferencesYieldTheSameListAsFullUpdates) {
   int applied_differences = 0;
--- a/test/policy/waiting_queue_test.cc
+++ b/test/policy/waiting_queue_test.cc
@@ -56,9 +56,9 @@
 
 TEST_GROUP(waiting_queue){};
 
-// Failure: a top-tier request is rejected while requests of a lower tier wait.
-// Sequence: the queue fills with low-tier requests, then a top-tier request
-// arrives. The queue must shed a request of the lower tier.
+// Guards against the rejection of a top-tier request while requests of a lower
+// tier wait. The queue fills with low-tier requests, then a top-tier request
+// arrives; the queue must shed a request of the lower tier.
 TEST(waiting_queue, FullQueueShedsLowerTierNotHigher) {
   Rig r(PolicyWithLimit(3));
   for (uint64_t i = 1; i <= 3; ++i) CHECK_TRUE(r.Enqueue(i, kLow).ok());
@@ -82,7 +82,7 @@
   CHECK_EQUAL(1u, r.DispatchNext());
 }
 
-// Checks the baseline of comparisons, which ignores tiers.
+// Checks the baseline of comparisons: a queue that ignores tiers.
 TEST(waiting_queue, WithoutTiersServesInArrivalOrder) {
   WaitingPolicy p;
   p.tier_order = false;
@@ -92,9 +92,9 @@
   CHECK_EQUAL(1u, r.DispatchNext());
 }
 
-// Failure: the lowest class gets no answer while the top class is busy.
-// Sequence: the top tier takes every slot for longer than the starvation bound.
-// One slot in floor_interval must go to the starving request.
+// Guards against a lowest class that gets no answer while the top class is
+// busy. The top tier takes every slot for longer than the starvation bound; one
+// slot in floor_interval must go to the starving request.
 TEST(waiting_queue, StarvingLowTierGetsFloorSlots) {
   WaitingPolicy p;
   p.starvation_bound = Millis(1000);
@@ -112,12 +112,12 @@
   CHECK_TRUE(low_served);
 }
 
-// Failure: in a burst of the top class, 7 of 113 requests of the class below
-// are rejected although answers of the top class take a fifth of their target.
-// Sequence: the top tier takes every slot for longer than the target of the
-// lower tier. Cause: a request starves only after a bound of seconds, which
-// exceeds that target. Whether a request starves must also depend on its
-// maximum wait.
+// Guards against rejections of a lower tier while the top tier has time to
+// spare. In a burst the top tier takes every slot for longer than the target of
+// the lower tier: 7 of 113 requests of the class below were rejected although
+// answers of the top class took a fifth of their target. The starvation bound
+// of seconds exceeds that target, so whether a request starves must also depend
+// on its maximum wait.
 TEST(waiting_queue, ShortMaximumWaitStarvesSooner) {
   WaitingPolicy p;
   p.starvation_bound = std::chrono::seconds(4);
@@ -141,9 +141,9 @@
   LONGS_EQUAL(0, rejected);
 }
 
-// Failure: a caller waits almost until its deadline and is rejected only then.
-// Cause: the queue detects expired requests late. A request must expire at the
-// moment its maximum wait ends.
+// Guards against a caller that waits almost until its deadline and is rejected
+// only then, because the queue detects expired requests late. A request must
+// expire at the moment its maximum wait ends.
 TEST(waiting_queue, ExpiredRequestIsReportedAtItsDeadline) {
   Rig r({});
   CHECK_TRUE(r.Enqueue(1, kTop, Millis(500)).ok());
@@ -156,9 +156,9 @@
   CHECK_EQUAL(0u, r.queue.size(kService));
 }
 
-// Failure: a request is rejected only after its maximum wait, although the
-// queue ahead of it could not empty in time. The request must be rejected on
-// arrival.
+// Guards against a request that is rejected only after its maximum wait,
+// although the queue ahead of it could not empty in time. The request must be
+// rejected on arrival.
 TEST(waiting_queue, UnmeetableTargetIsRejectedOnArrival) {
   WaitingPolicy p;
   p.reject_unmeetable = true;
@@ -247,11 +247,11 @@
   }
 }
 
-// Failure: at the highest load hardly any answer is in time although the
-// engines work without a break. Load pattern: requests arrive at 1.5 times the
-// rate of free slots for ten seconds; a first event comes 0.6 of the target
-// after its slot. Cause: a long maximum wait keeps the queue full, and each
-// dispatched request has already spent the time that its answer needs.
+// Guards against answers that are all late in overload although the engines
+// work without a break. Requests arrive at 1.5 times the rate of free slots for
+// ten seconds; a first event comes 0.6 of the target after its slot. A long
+// maximum wait would keep the queue full, so that each dispatched request has
+// already spent the time that its answer needs.
 TEST(waiting_queue, OverloadDoesNotMakeEveryAnswerLate) {
   constexpr auto kTarget = Millis(1000);
   constexpr auto kFirstEvent = Millis(600);
