--- a/fuzz/wire.cc
+++ b/fuzz/wire.cc
@@ -53,7 +53,7 @@
   }
   switch (data[0] % 5) {
     case 0:
-      RoundTrip(bytes, DecodeHello, EncodeHello);
+      RoundTrip(bytes, DecodeMemberAddresses, EncodeMemberAddresses);
       break;
     case 1:
       RoundTrip(bytes, DecodeWatchRequest, EncodeWatchRequest);
--- a/src/base/errors.cc
+++ b/src/base/errors.cc
@@ -10,10 +10,10 @@
 
 constexpr char kPayloadUrl[] = "medlarwalk/kind";
 
-// Indexed by ErrorKind. 503 requests a retry later and always carries
-// Retry-After. 409 reports a conflict: either of the idempotency key or of a
-// stale fencing number. 502 reports an upstream failure after the request may
-// have started.
+// The answers to callers, indexed by ErrorKind. A 503 answer asks the caller to
+// retry later and always carries Retry-After. A 409 answer reports a conflict:
+// either of the idempotency key or of a stale fencing number. A 502 answer
+// reports an upstream failure after the request may have started.
 constexpr std::array<ErrorAnswer, kErrorKindCount> kAnswers = {{
     {400, "bad_request", false, true},
     {403, "unknown_account", false, true},
@@ -82,10 +82,10 @@
 ErrorKind ErrorKindOf(const absl::Status& status) {
   auto payload = status.GetPayload(kPayloadUrl);
   if (!payload) return ErrorKind::kInternal;
-  return KindFromCode(std::string(*payload));
+  return ErrorKindFromCode(std::string(*payload));
 }
 
-ErrorKind KindFromCode(absl::string_view code) {
+ErrorKind ErrorKindFromCode(absl::string_view code) {
   for (int i = 0; i < kErrorKindCount; ++i) {
     if (kAnswers[i].code == code) return static_cast<ErrorKind>(i);
   }
--- a/src/base/errors.h
+++ b/src/base/errors.h
@@ -12,8 +12,8 @@
 namespace medlarwalk {
 
 // A reason why a request was not served. The list is closed: a new reason needs
-// a new kind here and a row in the table of answers, whose code is also a
-// metric label.
+// a new kind here and a row in the table of answers. The code in that row is
+// also a metric label.
 enum class ErrorKind {
   kBadRequest,        // The request is malformed.
   kUnknownAccount,    // The client account is not declared.
@@ -62,7 +62,7 @@
 ErrorKind ErrorKindOf(const absl::Status& status);
 
 // Returns the kind whose code is `code`; kInternal when none matches.
-ErrorKind KindFromCode(absl::string_view code);
+ErrorKind ErrorKindFromCode(absl::string_view code);
 
 }  // namespace medlarwalk
 
--- a/src/base/log_rate_limiter.h
+++ b/src/base/log_rate_limiter.h
@@ -19,7 +19,8 @@
       : rate_(rate), burst_(burst), tokens_(burst) {}
 
   // Returns whether one more line may be written at `now`; if not, counts the
-  // line as dropped. `writable`: the log accepts a line without blocking.
+  // line as dropped. `writable` says whether the log accepts a line without
+  // blocking.
   bool AllowLine(TimePoint now, bool writable) {
     if (last_refill_ != TimePoint{}) {
       tokens_ =
--- a/src/base/metrics.cc
+++ b/src/base/metrics.cc
@@ -100,8 +100,8 @@
   retries_->Add({{"reason", std::string(reason)}}).Increment();
 }
 
-void Metrics::CountFinished(absl::string_view klass,
-                            absl::string_view outcome) {
+void Metrics::CountFinishedRequest(absl::string_view klass,
+                                   absl::string_view outcome) {
   finished_
       ->Add({{"class", std::string(klass)}, {"outcome", std::string(outcome)}})
       .Increment();
@@ -112,7 +112,7 @@
       .Observe(seconds);
 }
 
-void Metrics::ObserveDuration(absl::string_view klass, double seconds) {
+void Metrics::ObserveRequestDuration(absl::string_view klass, double seconds) {
   duration_->Add({{"class", std::string(klass)}}, LatencyBuckets())
       .Observe(seconds);
 }
@@ -143,7 +143,7 @@
   quarantined_->Set(static_cast<double>(n));
 }
 
-void Metrics::SetQueued(absl::string_view klass, double n) {
+void Metrics::SetQueuedRequests(absl::string_view klass, double n) {
   queued_->Add({{"class", std::string(klass)}}).Set(n);
 }
 
@@ -196,8 +196,8 @@
   list_bytes_->Add(labels).Increment(static_cast<double>(bytes));
 }
 
-void ControlMetrics::CountDuty(absl::string_view step,
-                               absl::string_view outcome) {
+void ControlMetrics::CountDutyStep(absl::string_view step,
+                                   absl::string_view outcome) {
   duties_->Add({{"step", std::string(step)}, {"outcome", std::string(outcome)}})
       .Increment();
 }
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -27,11 +27,11 @@
   // Counts one retry, by its reason (e.g. not_run, connection_lost).
   void CountRetry(absl::string_view reason);
   // Counts one finished request, by class and outcome ("ok" or a code).
-  void CountFinished(absl::string_view klass, absl::string_view outcome);
+  void CountFinishedRequest(absl::string_view klass, absl::string_view outcome);
   // Records the time to first token of a request of `klass`.
   void ObserveFirstToken(absl::string_view klass, double seconds);
   // Records the total duration of a request of `klass`.
-  void ObserveDuration(absl::string_view klass, double seconds);
+  void ObserveRequestDuration(absl::string_view klass, double seconds);
   // Counts one update of the upstream list received from control, by its form:
   // "whole" (a full list), "difference" (a delta), or "unfit" (a delta that
   // does not apply to the list held).
@@ -54,7 +54,7 @@
   // Sets the number of quarantined request fingerprints.
   void SetQuarantined(size_t n);
   // Sets the number of queued requests of `klass`.
-  void SetQueued(absl::string_view klass, double n);
+  void SetQueuedRequests(absl::string_view klass, double n);
 
   // Returns all metrics in the Prometheus text format.
   std::string Render() const;
@@ -116,8 +116,9 @@
   // Counts one published upstream list and its size, by its form: "whole" or
   // "difference".
   void CountPublishedList(absl::string_view how, size_t bytes);
-  // Counts one step of a duty, by its outcome.
-  void CountDuty(absl::string_view step, absl::string_view outcome);
+  // Counts one step of a duty (work that one process does for the whole group),
+  // by step and outcome.
+  void CountDutyStep(absl::string_view step, absl::string_view outcome);
   // Records the duration of one loop iteration, without the wait for events.
   void ObserveLoopIteration(double seconds) {
     loop_iterations_->Observe(seconds);
--- a/src/base/packed.cc
+++ b/src/base/packed.cc
@@ -12,14 +12,14 @@
 // The first byte of an RFC 1950 stream with the window size that zlib uses:
 // 'x'.
 constexpr char kZlibFirstByte = 0x78;
-// Routes differ in few bytes, so the fastest compression level yields nearly
-// the size of the best one.
+// The fastest compression level of zlib. The routes of a configuration differ
+// in few bytes, so the result is nearly as small as that of the best level.
 constexpr int kCompressionLevel = Z_BEST_SPEED;
 constexpr size_t kInitialOutputBytes = size_t{64} * 1024;
 
 }  // namespace
 
-Document Pack(absl::string_view text) {
+Document CompressDocument(absl::string_view text) {
   uLongf compressed_size = compressBound(text.size());
   std::string compressed(compressed_size, '\0');
   compress2(reinterpret_cast<Bytef*>(&compressed[0]), &compressed_size,
@@ -30,7 +30,8 @@
   return std::make_shared<const std::string>(std::move(compressed));
 }
 
-absl::StatusOr<std::string> Unpack(absl::string_view packed, size_t max_bytes) {
+absl::StatusOr<std::string> DecompressDocument(absl::string_view packed,
+                                               size_t max_bytes) {
   if (packed.empty() || packed[0] != kZlibFirstByte) return std::string(packed);
   z_stream stream{};
   if (inflateInit(&stream) != Z_OK) {
@@ -41,7 +42,7 @@
   std::string text;
   int rc = Z_OK;
   while (rc == Z_OK && text.size() < max_bytes + 1) {
-    // Decompresses at most one byte more than allowed: the extra byte shows
+    // Decompresses at most one byte more than `max_bytes`: the extra byte shows
     // that the text is too large.
     size_t chunk_size = std::min(std::max(text.size(), kInitialOutputBytes),
                                  max_bytes + 1 - text.size());
--- a/src/base/packed.h
+++ b/src/base/packed.h
@@ -16,13 +16,14 @@
 
 // Returns `text` compressed with zlib (RFC 1950). The first byte of the result
 // identifies it as compressed: no JSON text begins with this byte.
-Document Pack(absl::string_view text);
+Document CompressDocument(absl::string_view text);
 
 // Returns the decompressed text of `packed`. A document that does not begin
 // like a compressed one is returned unchanged. Errors: InvalidArgument if
 // `packed` is damaged, or if the decompressed text is larger than `max_bytes`,
 // since a few bytes may expand to very many.
-absl::StatusOr<std::string> Unpack(absl::string_view packed, size_t max_bytes);
+absl::StatusOr<std::string> DecompressDocument(absl::string_view packed,
+                                               size_t max_bytes);
 
 }  // namespace medlarwalk
 
--- a/src/control.cc
+++ b/src/control.cc
@@ -17,19 +17,19 @@
 namespace {
 
 constexpr double kTickSeconds = 0.02;
-// Share of the usual read rate at which a control process without a leader
-// reads the upstream list itself. Any number of control processes may do so at
-// the same time.
+// Rate at which a control process without a leader reads the upstream list
+// itself, as a share of the usual read rate. Any number of control processes
+// may read at this rate at the same time.
 constexpr double kLeaderlessListRate = 0.4;
-// Followers that sent no watch for this long are no longer counted.
+// Time without a watch after which a follower is no longer counted.
 constexpr auto kFollowerTimeout = std::chrono::seconds(3);
-// How long a process without a disk trusts the leader that its last watch
-// answer named.
+// Time for which a process without a disk relies on the leader that its last
+// watch answer named.
 constexpr auto kAnnouncedLeaderTtl = std::chrono::seconds(1);
-constexpr auto kHelloInterval = Millis(300);
-// Maximum bytes of configurations in flight to the leader. This many bytes fit
-// in half a second on the leader's link of 100 Mbit/s, which all forwarding
-// members share.
+constexpr auto kMemberAnnouncementInterval = Millis(300);
+// Maximum bytes of configurations in flight from this process to the leader.
+// All forwarding members share the leader's link of 100 Mbit/s, which transmits
+// this many bytes within half a second.
 constexpr size_t kMaxForwardedBytes = size_t{1} << 20;
 constexpr auto kStoreRetryInterval = std::chrono::seconds(1);
 // Size of the kept history of list changes, as a number of changed upstreams. A
@@ -92,8 +92,9 @@
             OnLeaderReply(r, in_sync);
           }),
       list_history_(kMaxListChanges, EncodeListChange) {
-  // Claims the highest version, so that the leader sends no configurations in
-  // watch answers. Configurations arrive through the replicated log.
+  // Claims to hold the highest version, so that the leader sends no
+  // configurations in watch answers. Configurations arrive through the
+  // replicated log.
   leader_watch_.next_request().config_version =
       std::numeric_limits<int64_t>::max();
   InitTimer(&tick_, OnTick, kTickSeconds, kTickSeconds);
@@ -210,7 +211,7 @@
 void Control::SendToPeer(const Member& to, const ReplicaMessage& m) {
   if (!links_.LinkTo(to.address).usable()) return;
   bool carries_load = !m.entries.empty() || m.snapshot;
-  if (carries_load && !load_in_flight_.insert(to.address).second) {
+  if (carries_load && !members_with_load_in_flight_.insert(to.address).second) {
     ReplicaMessage heartbeat = m;
     heartbeat.entries.clear();
     heartbeat.snapshot.reset();
@@ -221,14 +222,14 @@
       to.address, kReplicaPath, Payload(EncodeMessage(m)),
       [this, carries_load, address = to.address](int status,
                                                  const std::string& body) {
-        if (carries_load) load_in_flight_.erase(address);
+        if (carries_load) members_with_load_in_flight_.erase(address);
         if (status != 200 || body.empty() || !replica_) return;
         absl::StatusOr<ReplicaMessage> reply = DecodeMessage(body);
         if (!reply.ok()) {
           LogWarn("bad_peer_message", {{"error", reply.status().message()}});
           return;
         }
-        replica_->Handle(*reply);
+        replica_->HandleMessage(*reply);
       });
 }
 
@@ -238,8 +239,8 @@
     HandleWatch(req, std::move(stream));
     return;
   }
-  if (req.path == kHelloPath) {
-    HandleHello(req, std::move(stream));
+  if (req.path == kMemberAnnouncementPath) {
+    HandleMemberAnnouncement(req, std::move(stream));
     return;
   }
   if (req.path == kReplicaPath) {
@@ -247,7 +248,8 @@
     return;
   }
   if (req.path == kSubmitPath) {
-    absl::StatusOr<std::string> text = Unpack(req.body, kMaxLinkBodyBytes);
+    absl::StatusOr<std::string> text =
+        DecompressDocument(req.body, kMaxLinkBodyBytes);
     absl::StatusOr<int64_t> version =
         text.ok() ? options_.validate(*text) : text.status();
     if (!version.ok()) {
@@ -286,7 +288,7 @@
   }
   std::optional<ReplicaMessage> reply;
   if (replica_) {
-    reply = replica_->Handle(*m);
+    reply = replica_->HandleMessage(*m);
   } else if (m->type == ReplicaMessage::Type::kJoin) {
     reply.emplace();
     reply->type = ReplicaMessage::Type::kJoinReply;
@@ -297,9 +299,10 @@
   stream->Respond(200, {}, reply ? EncodeMessage(*reply) : "");
 }
 
-void Control::HandleHello(const H2Request& req,
-                          std::shared_ptr<H2Stream> stream) {
-  absl::StatusOr<std::vector<std::string>> members = DecodeHello(req.body);
+void Control::HandleMemberAnnouncement(const H2Request& req,
+                                       std::shared_ptr<H2Stream> stream) {
+  absl::StatusOr<std::vector<std::string>> members =
+      DecodeMemberAddresses(req.body);
   stream->Respond(members.ok() ? 200 : 400, {}, "");
   if (!members.ok() || replica_ || members->empty()) return;
   if (announced_members_ != *members) {
@@ -368,11 +371,12 @@
   return metrics_.Render();
 }
 
-// Sends the addresses of the group's members to those seeds that are no
+// Sends the addresses of the group's members to those seeds that are not
 // members.
-void Control::SendHello(TimePoint now) {
-  if (!replica_ || now - hello_sent_at_ < kHelloInterval) return;
-  hello_sent_at_ = now;
+void Control::AnnounceMembers(TimePoint now) {
+  if (!replica_ || now - members_announced_at_ < kMemberAnnouncementInterval)
+    return;
+  members_announced_at_ = now;
   std::vector<std::string> members;
   for (const Member& m : replica_->members()) members.push_back(m.address);
   if (members.empty()) return;
@@ -382,7 +386,8 @@
       continue;
     }
     if (!links_.LinkTo(seed).usable()) continue;
-    links_.Post(seed, kHelloPath, Payload(EncodeHello(members)), nullptr);
+    links_.Post(seed, kMemberAnnouncementPath,
+                Payload(EncodeMemberAddresses(members)), nullptr);
   }
 }
 
@@ -404,7 +409,7 @@
     OpenStore();
   }
   if (replica_) replica_->Tick();
-  SendHello(now);
+  AnnounceMembers(now);
   for (auto it = followers_.begin(); it != followers_.end();) {
     it = now - it->second.last_seen > kFollowerTimeout ? followers_.erase(it)
                                                        : std::next(it);
--- a/src/control.h
+++ b/src/control.h
@@ -36,8 +36,8 @@
   std::string name;
   std::string data_centre;
   Endpoint peer;  // Address for calls from other medlarwalk processes.
-  // Port to listen on when a forwarder occupies the port of `peer`; 0 if none
-  // does.
+  // Port to listen on when a port forwarder occupies the port of `peer`; 0 if
+  // none does.
   int peer_listen_port = 0;
   std::vector<std::string> seeds;  // Peer addresses of some control processes.
   // Whether this is the first start of the whole system.
@@ -83,7 +83,8 @@
   std::string Metrics();
 
  private:
-  // A process that was out of sync for this long treats its leader as lost.
+  // Time out of sync with the leader after which a process treats the leader as
+  // lost.
   static constexpr auto kLeaderlessTimeout = Millis(1200);
   // Maximum time that a call waits for a leader: about one election.
   static constexpr auto kLeaderWait = Millis(850);
@@ -104,7 +105,7 @@
     std::string data_centre;
     std::string address;  // Set for control processes only.
     bool serves_callers = false;
-    int serving_followers = 0;  // Serving processes that watch the follower.
+    int serving_followers = 0;  // Number of serving processes that watch it.
   };
   // A call that waits until a leader is known.
   struct WaitingCall {
@@ -120,8 +121,9 @@
                          std::shared_ptr<H2Stream> stream);
   void HandleWatch(const H2Request& req, std::shared_ptr<H2Stream> stream);
   void HandleReplica(const H2Request& req, std::shared_ptr<H2Stream> stream);
-  void HandleHello(const H2Request& req, std::shared_ptr<H2Stream> stream);
-  void SendHello(TimePoint now);
+  void HandleMemberAnnouncement(const H2Request& req,
+                                std::shared_ptr<H2Stream> stream);
+  void AnnounceMembers(TimePoint now);
   void SendToPeer(const Member& to, const ReplicaMessage& m);
   void SubmitLocally(Document document, int64_t version, SubmitDone done);
   void SubmitOrForward(Document document, int64_t version, TimePoint deadline,
@@ -169,7 +171,7 @@
   LoopWatch loop_watch_;
   // Addresses of members with a call in flight that carries log entries or a
   // snapshot.
-  std::set<std::string> load_in_flight_;
+  std::set<std::string> members_with_load_in_flight_;
   LinkPool links_;
   // Configurations forwarded to the leader.
   ConflatingSender forwarded_changes_;
@@ -178,7 +180,8 @@
   RateLimitTable limits_;
   UsageReporter usage_;
   WatchReports reports_;
-  // False while crash records from before a restart may be missing here.
+  // Whether this process has the crash records from before a restart. False
+  // while some may be missing.
   bool quarantine_complete_ = false;
   int64_t saved_quarantine_version_ = 0;
   TimePoint quarantine_save_tried_at_{};
@@ -206,7 +209,7 @@
   TimePoint leader_announced_at_{};
   std::vector<WaitingCall> waiting_calls_;
   TimePoint store_tried_at_{};
-  TimePoint hello_sent_at_{};
+  TimePoint members_announced_at_{};
   bool list_source_lost_ = false;
   size_t logged_heap_held_ = 0;
   TimePoint memory_logged_at_{};
--- a/src/control_calls.cc
+++ b/src/control_calls.cc
@@ -70,7 +70,8 @@
   int64_t version_number = *version;
   size_t bytes = document.size();
   TimePoint start = clock_.Now();
-  SubmitOrForward(Pack(document), version_number, start + kLeaderWait,
+  SubmitOrForward(CompressDocument(document), version_number,
+                  start + kLeaderWait,
                   [this, version_number, start, bytes,
                    done = std::move(done)](absl::Status s) {
                     LogEvent("config_submitted",
@@ -144,7 +145,7 @@
                      const absl::StatusOr<std::string>& r) {
                    metrics_.ObserveCall("read", CallOutcome(r.status()),
                                         ToSeconds(clock_.Now() - start));
-                   done(r.ok() ? Unpack(*r, kMaxLinkBodyBytes) : r);
+                   done(r.ok() ? DecompressDocument(*r, kMaxLinkBodyBytes) : r);
                  });
 }
 
--- a/src/control_watch.cc
+++ b/src/control_watch.cc
@@ -36,8 +36,8 @@
 // followers from the index that the leader assigned to it.
 int Control::ServingIndexOf(const std::string& follower) const {
   int index = IsLeader() ? 0 : leader_serving_index_;
-  // A follower with an open watch has no record here if it timed out while this
-  // process was stalled.
+  // The follower may be missing from `followers_` although its watch is open:
+  // it timed out while this process was stalled.
   auto record = followers_.find(follower);
   if (index < 0 || record == followers_.end()) return -1;
   bool serves = record->second.serves_callers;
@@ -62,8 +62,9 @@
   return it == data_centre_by_address_.end() ? "" : it->second;
 }
 
-// Returns the control processes, each with its data centre if known. A
-// follower's data centre comes from its watch, any other from the leader.
+// Returns the control processes, each with its data centre if known. The data
+// centre of a follower is taken from its watch request, that of another process
+// from the leader's watch answer.
 std::vector<ControlEndpoint> Control::ControlEndpoints() const {
   std::vector<std::string> addresses = announced_members_;
   if (replica_) {
@@ -107,7 +108,8 @@
                            {"from", c.ok() ? c->from : -1},
                            {"to", c.ok() ? c->to : -1}});
   }
-  // After a change that does not apply, version 0 requests the complete list.
+  // If the change does not apply to the list held here, version 0 in the next
+  // watch requests the complete list.
   leader_watch_.next_request().list_version =
       applied ? list_history_.version() : 0;
   if (applied) AnswerWatches();
@@ -134,7 +136,7 @@
   w.list_interval_ms = ToMs(list_interval_);
   w.serving_count = TotalServingCount();
   w.serving_index = ServingIndexOf(r.name);
-  usage_.FillReply(&w);
+  usage_.SetGroupTimeAndCommittedWindow(&w);
   w.quarantine_version = quarantine_.version();
   if (w.quarantine_version != r.quarantine_version) {
     w.quarantine = std::make_shared<const std::string>(
@@ -209,7 +211,7 @@
          quarantine_.version() != w.request.quarantine_version ||
          limits_.version() != w.request.limits_version);
     // A follower that sent reports waits for their acknowledgment, so its watch
-    // is answered without news.
+    // is answered even if there is no news.
     bool must_acknowledge = may_publish && w.has_reports;
     if (!has_news && !must_acknowledge && !out_of_sync && now < w.deadline) {
       keep.push_back(std::move(w));
@@ -231,7 +233,8 @@
                                              : "nothing");
     w.stream->Respond(200, {}, EncodeWatchReply(reply));
   }
-  // Appends, because answering may have added new watches.
+  // Appends to `pending_watches_`, because sending the answers may have added
+  // new watches.
   for (PendingWatch& w : keep) pending_watches_.push_back(std::move(w));
 }
 
--- a/src/control_wire.cc
+++ b/src/control_wire.cc
@@ -101,11 +101,12 @@
   return std::max<int64_t>(1, static_cast<int64_t>(StableHash(text) >> 1));
 }
 
-std::string EncodeHello(const std::vector<std::string>& control) {
+std::string EncodeMemberAddresses(const std::vector<std::string>& control) {
   return ToCbor(json(control));
 }
 
-absl::StatusOr<std::vector<std::string>> DecodeHello(absl::string_view bytes) {
+absl::StatusOr<std::vector<std::string>> DecodeMemberAddresses(
+    absl::string_view bytes) {
   return DecodeCbor<std::vector<std::string>>(
       bytes, [](const json& j) { return j.get<std::vector<std::string>>(); });
 }
@@ -299,14 +300,15 @@
 Document EncodeListChange(const ListChange& c) {
   json changed = json::array();
   for (const UpstreamInfo& u : c.changed) changed.push_back(ToJson(u));
-  return Pack(ToCbor({{"f", c.from},
-                      {"t", c.to},
-                      {"u", std::move(changed)},
-                      {"g", c.removed_ids}}));
+  return CompressDocument(ToCbor({{"f", c.from},
+                                  {"t", c.to},
+                                  {"u", std::move(changed)},
+                                  {"g", c.removed_ids}}));
 }
 
 absl::StatusOr<ListChange> DecodeListChange(absl::string_view bytes) {
-  absl::StatusOr<std::string> text = Unpack(bytes, kMaxLinkBodyBytes);
+  absl::StatusOr<std::string> text =
+      DecompressDocument(bytes, kMaxLinkBodyBytes);
   if (!text.ok()) return text.status();
   return DecodeCbor<ListChange>(*text, [](const json& j) {
     ListChange c;
--- a/src/control_wire.h
+++ b/src/control_wire.h
@@ -25,7 +25,7 @@
 inline constexpr char kSubmitPath[] = "/submit";    // Submits a configuration.
 inline constexpr char kReadPath[] = "/read";  // Reads the newest configuration.
 // Announces the group's members.
-inline constexpr char kHelloPath[] = "/hello";
+inline constexpr char kMemberAnnouncementPath[] = "/hello";
 // Confirms the newest configuration version.
 inline constexpr char kConfirmPath[] = "/confirm";
 
@@ -48,7 +48,7 @@
   int64_t limits_version = 0;
   // Reported limits of upstreams, encoded; "" if there are none.
   std::string limits;
-  // The follower's wall clock, in Unix milliseconds; 0 if not given.
+  // Time on the follower's wall clock, in Unix milliseconds; 0 if not given.
   int64_t unix_ms = 0;
   // Reported usage records, encoded; "" if there are none.
   std::string usage;
@@ -95,33 +95,34 @@
   std::string leader;  // Address of the leader; "" if unknown.
   // The group's time, in Unix milliseconds; 0 if unknown.
   int64_t unix_ms = 0;
-  // Newest window whose usage is committed, as is that of all earlier windows;
-  // 0 if there is none.
+  // Newest usage window up to which the usage of all windows is committed; 0 if
+  // there is none.
   int64_t usage_committed_through = 0;
 };
 
 // Encodes the addresses of the group's members. Members send them to seeds that
 // keep no state, because such a process knows only its own seeds after a start.
-std::string EncodeHello(const std::vector<std::string>& control);
-absl::StatusOr<std::vector<std::string>> DecodeHello(absl::string_view bytes);
+std::string EncodeMemberAddresses(const std::vector<std::string>& control);
+absl::StatusOr<std::vector<std::string>> DecodeMemberAddresses(
+    absl::string_view bytes);
 // Encodes times as ages relative to `now`, because the clocks of hosts differ.
 nlohmann::json CrashRecordsToJson(absl::Span<const CrashRecord> records,
                                   TimePoint now);
-// Throws nlohmann::json::exception on a malformed value.
+// Throws nlohmann::json::exception if `j` is malformed.
 std::vector<CrashRecord> CrashRecordsFromJson(const nlohmann::json& j,
                                               TimePoint now);
 std::string EncodeCrashRecords(absl::Span<const CrashRecord> records,
                                TimePoint now);
-// Errors: InvalidArgument.
+// Errors: InvalidArgument if `bytes` are malformed.
 absl::StatusOr<std::vector<CrashRecord>> DecodeCrashRecords(
     absl::string_view bytes, TimePoint now);
 std::string EncodeLimitRecords(absl::Span<const LimitRecord> records,
                                TimePoint now);
-// Errors: InvalidArgument.
+// Errors: InvalidArgument if `bytes` are malformed.
 absl::StatusOr<std::vector<LimitRecord>> DecodeLimitRecords(
     absl::string_view bytes, TimePoint now);
 std::string EncodeUsageRecords(absl::Span<const UsageRecord> records);
-// Errors: InvalidArgument.
+// Errors: InvalidArgument if `bytes` are malformed.
 absl::StatusOr<std::vector<UsageRecord>> DecodeUsageRecords(
     absl::string_view bytes);
 std::string EncodeWatchRequest(const WatchRequest& r);
@@ -133,7 +134,7 @@
 // Encodes and compresses a change. The ids and addresses of a list are similar
 // and compress well.
 Document EncodeListChange(const ListChange& c);
-// Errors: InvalidArgument.
+// Errors: InvalidArgument if `bytes` are malformed.
 absl::StatusOr<ListChange> DecodeListChange(absl::string_view bytes);
 
 }  // namespace medlarwalk
--- a/src/gateway.cc
+++ b/src/gateway.cc
@@ -452,8 +452,8 @@
        {"end", r.end_detected_by},
        {"pause_ms", ToMs(r.longest_gap)},
        {"pause_at", r.longest_gap_upstream}});
-  metrics_.CountFinished(MetricLabel(r), outcome);
-  metrics_.ObserveDuration(MetricLabel(r), ToSeconds(elapsed));
+  metrics_.CountFinishedRequest(MetricLabel(r), outcome);
+  metrics_.ObserveRequestDuration(MetricLabel(r), ToSeconds(elapsed));
   r.exchange->set_on_gone(nullptr);
   r.exchange->set_on_drained(nullptr);
   deadlines_.erase(r.deadline_entry);
--- a/src/gateway_timers.cc
+++ b/src/gateway_timers.cc
@@ -129,7 +129,7 @@
     auto [it, inserted] = reported_waiting_.try_emplace(label, 0);
     if (!inserted && it->second == n) continue;
     it->second = n;
-    metrics_.SetQueued(label, n);
+    metrics_.SetQueuedRequests(label, n);
   }
 }
 
--- a/src/link_pool.cc
+++ b/src/link_pool.cc
@@ -7,8 +7,8 @@
 namespace {
 
 // Interval of pings on a link, and time without received bytes after which the
-// link is closed. Without pings the loss would go unnoticed: a host that lost
-// power or its network sends no reset.
+// link is closed. A host that lost power or its network sends no reset, so its
+// loss would go unnoticed without pings.
 constexpr Millis kPingInterval(300);
 constexpr Millis kPingTimeout(900);
 
--- a/src/lister.cc
+++ b/src/lister.cc
@@ -78,7 +78,7 @@
   }
   if (client_) client_->Cancel();
   client_.reset();
-  Finish(absl::UnavailableError("timed out"));
+  FinishRead(absl::UnavailableError("timed out"));
 }
 
 void Lister::RequestPage(const std::string& token) {
@@ -117,13 +117,13 @@
     return;
   }
   if (end != CallEnd::kWhole || status_ != 200) {
-    Finish(
+    FinishRead(
         absl::UnavailableError(absl::StrCat("status ", status_, " ", reason)));
     return;
   }
   absl::StatusOr<ListPage> page = source_.decode(body_);
   if (!page.ok()) {
-    Finish(page.status());
+    FinishRead(page.status());
     return;
   }
   unusable_entries_ += page->unusable_entries;
@@ -137,17 +137,17 @@
       logged_unusable_ = unusable_entries_;
     }
     length_ = {upstreams_.size(), pages_read_};
-    Finish(std::move(upstreams_));
+    FinishRead(std::move(upstreams_));
     return;
   }
   if (pages_read_ >= kMaxPages) {
-    Finish(absl::UnavailableError("too many pages"));
+    FinishRead(absl::UnavailableError("too many pages"));
     return;
   }
   RequestPage(page->next_token);
 }
 
-void Lister::Finish(absl::StatusOr<std::vector<UpstreamInfo>> r) {
+void Lister::FinishRead(absl::StatusOr<std::vector<UpstreamInfo>> r) {
   Done done = std::move(done_);
   done_ = nullptr;
   if (done) done(std::move(r));
--- a/src/lister.h
+++ b/src/lister.h
@@ -44,8 +44,8 @@
   int pages = 0;
 };
 
-// Returns the time between two reads of a list of this size. Load pattern: one
-// process reads the whole list for all others. A list of thousands of
+// Returns the time between two reads of a list of this size. One process
+// reads the whole list for all others. A list of thousands of
 // upstreams, read as often as a small one, would saturate the network link of
 // that host.
 // - A small list is read often enough that a draining upstream is known well
@@ -78,7 +78,7 @@
   void RequestPage(const std::string& token);
   void OnPageEnd(const std::string& token, CallEnd end,
                  absl::string_view reason);
-  void Finish(absl::StatusOr<std::vector<UpstreamInfo>> r);
+  void FinishRead(absl::StatusOr<std::vector<UpstreamInfo>> r);
 
   struct ev_loop* loop_;
   const Clock& clock_;
--- a/src/native_api.cc
+++ b/src/native_api.cc
@@ -198,7 +198,7 @@
 
 AnswerFacts ReadAnswer(const MessageHead& head) {
   AnswerFacts facts;
-  ErrorKind kind = KindFromCode(head.HeaderValue(kH2ErrorKind));
+  ErrorKind kind = ErrorKindFromCode(head.HeaderValue(kH2ErrorKind));
   facts.not_run = kind == ErrorKind::kNotRun || kind == ErrorKind::kDraining ||
                   kind == ErrorKind::kNoUpstream;
   facts.has_signature = head.Find(kH2ErrorKind) == nullptr;
--- a/src/quarantine_store.h
+++ b/src/quarantine_store.h
@@ -14,7 +14,8 @@
 
 namespace medlarwalk {
 
-// Replaces the file in `dir`. Blocks until it is synced. Errors: Unavailable.
+// Replaces the file in `dir` with one that holds `records`. Blocks until the
+// file is synced. Errors: Unavailable.
 absl::Status SaveCrashRecords(const std::string& dir,
                               absl::Span<const CrashRecord> records,
                               TimePoint now, const BeforeWrite& before_write);
--- a/src/replica.cc
+++ b/src/replica.cc
@@ -8,16 +8,16 @@
 namespace medlarwalk {
 namespace {
 
-// Time without a reply after which entries are sent again. Longer than the
-// round trip of a link that loses a packet.
+// Time without a reply after which entries are sent again. It exceeds the round
+// trip time of a link that loses a packet.
 constexpr auto kResendAfter = Millis(500);
-// Time without contact to a leader after which a voter sends join requests. It
-// may have been removed from the group while it was partitioned.
+// Time without contact to a leader after which a voter sends join requests. The
+// voter may have been removed from the group while it was partitioned.
 constexpr auto kRejoinAfter = Millis(1500);
 // Delay before the next compaction after a snapshot could not be written.
 constexpr auto kCompactionRetryDelay = std::chrono::seconds(1);
-// Number of rounds whose send time is stored. Fewer rounds than this are in
-// flight on a link.
+// Number of broadcast rounds whose send time is stored. Fewer rounds than this
+// are in flight on a link at any time.
 constexpr size_t kMaxRoundSentTimes = 256;
 
 size_t EntryBytes(const LogEntry& e) {
@@ -191,7 +191,7 @@
     StepDown(term_, "no quorum");
     return;
   }
-  ManageMembers();
+  UpdateMembership();
   if (role_ != ReplicaRole::kLeader) return;
   bool heartbeat_due = false;
   for (auto& [id, peer] : peers_) {
@@ -220,7 +220,8 @@
     ReplicaMessage m = MakeMessage(ReplicaMessage::Type::kInstallSnapshot);
     m.round = round_;
     m.commit_index = commit_index_;
-    // While a snapshot is in flight, the message carries only the round.
+    // While a snapshot is in flight, the message carries no snapshot, only the
+    // round and the commit index.
     if (peer.in_flight_through == 0) {
       m.snapshot = snapshot_;
       peer.in_flight_through = snapshot_.index;
@@ -318,7 +319,7 @@
   for (Waiter& w : all) w.done(absl::UnavailableError("leadership lost"));
 }
 
-std::optional<ReplicaMessage> Replica::Handle(const ReplicaMessage& m) {
+std::optional<ReplicaMessage> Replica::HandleMessage(const ReplicaMessage& m) {
   using T = ReplicaMessage::Type;
   switch (m.type) {
     case T::kVoteRequest:
@@ -371,7 +372,7 @@
 // Records the time if this follower is up to date. A leader that has committed
 // an entry of its own term knows every committed entry. A follower that has
 // committed all that such a leader has committed is up to date.
-void Replica::RecordIfUpToDate(const ReplicaMessage& m) {
+void Replica::RecordUpToDateTime(const ReplicaMessage& m) {
   if (commit_index_ >= m.commit_index && TermAt(m.commit_index) == m.term) {
     up_to_date_at_ = clock_.Now();
   }
@@ -427,7 +428,7 @@
     ApplyThrough(commit_index_);
     MaybeCompactLog();
   }
-  RecordIfUpToDate(m);
+  RecordUpToDateTime(m);
   return reply;
 }
 
@@ -466,7 +467,7 @@
   }
   reply.ok = true;
   reply.index = std::max(commit_index_, m.snapshot->index);
-  RecordIfUpToDate(m);
+  RecordUpToDateTime(m);
   return reply;
 }
 
@@ -494,7 +495,8 @@
     if (behind && peer.in_flight_through == 0) ReplicateTo(peer);
   } else if (uint64_t next_index = std::max(m.index, peer.match_index) + 1;
              next_index < peer.next_index) {
-    // The peer lacks entries before those in flight.
+    // The peer lacks entries before those in flight, so sending restarts at the
+    // first entry that it lacks.
     peer.next_index = next_index;
     peer.in_flight_through = 0;
     ReplicateTo(peer);
--- a/src/replica.h
+++ b/src/replica.h
@@ -128,7 +128,8 @@
   // Without the removal, permanently lost hosts would raise the quorum size.
   Duration drop_silent_after = std::chrono::seconds(6);
   // Number of hosts that may fail at the same time. A silent voter is removed
-  // only if 2 x `tolerate` + 1 voters remain or if a learner replaces it.
+  // only if 2 x `tolerated_failures` + 1 voters remain or if a learner replaces
+  // it.
   int tolerated_failures = 1;
   int max_voters = 7;
   // Number and bytes of applied entries, either of which triggers compaction of
@@ -164,7 +165,7 @@
   // Processes timeouts. Must be called every few tens of milliseconds.
   void Tick();
   // Handles a message. Returns the reply if `m` is a request.
-  std::optional<ReplicaMessage> Handle(const ReplicaMessage& m);
+  std::optional<ReplicaMessage> HandleMessage(const ReplicaMessage& m);
 
   // Proposes a configuration. Calls `done` with Ok after this version or a
   // higher version that replaced it is committed.
@@ -195,8 +196,8 @@
   // returns the time since it last had contact with a quorum.
   Duration TimeSinceLeaderContact() const;
   // Returns the time since this replica last knew that it had applied
-  // everything its leader had committed. If it is short, the state may be
-  // published to starting processes.
+  // everything its leader had committed. The state may be published to starting
+  // processes only if this time is short.
   Duration TimeSinceInSync() const;
   int64_t config_version() const { return config_version_; }
   // The newest committed configuration, compressed. Null if there is none.
@@ -216,7 +217,7 @@
   // sends this many bytes to six other members in half a second.
   static constexpr size_t kMaxUncommittedConfigBytes = size_t{1} << 20;
 
-  // The leader's state of another member or a learner.
+  // What the leader knows about another member or a learner.
   struct Peer {
     Member member;
     uint64_t next_index = 1;   // Index of the next entry to send.
@@ -249,7 +250,7 @@
   void CountVote(const std::string& voter_id);
   void BecomeLeader();
   void TickLeader();
-  void ManageMembers();
+  void UpdateMembership();
   bool ProposeMembers(std::vector<Member> members);
   bool AppendAsLeader(LogEntry e);
   void BroadcastRound();
@@ -257,7 +258,7 @@
   ReplicaMessage HandleVoteRequest(const ReplicaMessage& m);
   bool WinsElectionTie(const ReplicaMessage& m) const;
   bool AcceptLeader(const ReplicaMessage& m, ReplicaMessage* reply);
-  void RecordIfUpToDate(const ReplicaMessage& m);
+  void RecordUpToDateTime(const ReplicaMessage& m);
   ReplicaMessage HandleAppend(const ReplicaMessage& m);
   ReplicaMessage HandleInstallSnapshot(const ReplicaMessage& m);
   ReplicaMessage HandleJoinRequest(const ReplicaMessage& m);
--- a/src/replica_codec.cc
+++ b/src/replica_codec.cc
@@ -167,8 +167,7 @@
 }
 
 absl::StatusOr<json> FromCbor(absl::string_view bytes) {
-  // The library throws on excessive sizes even with exceptions turned
-  // off.
+  // The JSON library throws on excessive sizes even with exceptions turned off.
   try {
     NestingDepthLimit depth_limit;
     if (!json::sax_parse(bytes.begin(), bytes.end(), &depth_limit,
--- a/src/replica_members.cc
+++ b/src/replica_members.cc
@@ -18,7 +18,7 @@
 // change at a time. A voter is removed first if a learner has its address: the
 // host lost its disk, so the old identity never answers again. Voters that have
 // been silent for long are removed as well.
-void Replica::ManageMembers() {
+void Replica::UpdateMembership() {
   TimePoint now = clock_.Now();
   for (auto it = peers_.begin(); it != peers_.end();) {
     bool forget_learner =
--- a/src/serving.cc
+++ b/src/serving.cc
@@ -214,7 +214,8 @@
 
 void Serving::ApplyConfig(int64_t version, const std::string& document) {
   if (version <= watch_.next_request().config_version) return;
-  absl::StatusOr<std::string> text = Unpack(document, kMaxLinkBodyBytes);
+  absl::StatusOr<std::string> text =
+      DecompressDocument(document, kMaxLinkBodyBytes);
   absl::StatusOr<RoutingConfig> c =
       text.ok() ? options_.decode(*text) : text.status();
   if (!c.ok()) {
--- a/src/usage_reporter.cc
+++ b/src/usage_reporter.cc
@@ -15,10 +15,10 @@
 // Interval between samples of this host's wall clock.
 constexpr auto kOwnSampleInterval = Millis(200);
 constexpr auto kConnectTimeout = Millis(500);
-// Minimum time between attempts to connect.
+// Minimum time between attempts to connect to the outside system.
 constexpr auto kReconnectDelay = Millis(200);
-// Time without an answer after which a call is aborted. The outside system may
-// still execute the call.
+// Time without an answer after which a call to the outside system is aborted.
+// The outside system may still execute the call.
 constexpr auto kCallTimeout = Millis(1000);
 // Maximum share of the allowed duty calls per second that usage reports may
 // use.
@@ -78,7 +78,7 @@
   committed_through_ = std::max(committed_through_, r.usage_committed_through);
 }
 
-void UsageReporter::FillReply(WatchReply* r) const {
+void UsageReporter::SetGroupTimeAndCommittedWindow(WatchReply* r) const {
   r->unix_ms = group_time_.UnixMsAt(clock_.Now()).value_or(0);
   if (!reports_usage()) return;
   r->usage_committed_through = committed_through_;
@@ -140,7 +140,7 @@
 void UsageReporter::OnCommitFinished(int64_t window, TimePoint began_at,
                                      const absl::Status& s) {
   committing_ = false;
-  metrics_.CountDuty("usage_fixed", s.ok() ? "ok" : "unavailable");
+  metrics_.CountDutyStep("usage_fixed", s.ok() ? "ok" : "unavailable");
   LogEvent("usage_fixed", {{"window", window},
                            {"ms", ToMs(clock_.Now() - began_at)},
                            {"outcome", s.ok() ? "ok" : s.message()}});
@@ -163,7 +163,7 @@
   if (token) {
     SendReport(*window, *token, now);
   } else {
-    RequestConfirmation(now);
+    ConfirmLeadershipAndSend(now);
   }
 }
 
@@ -176,7 +176,7 @@
   return false;
 }
 
-void UsageReporter::RequestConfirmation(TimePoint now) {
+void UsageReporter::ConfirmLeadershipAndSend(TimePoint now) {
   Replica* r = LeadingReplica();
   if (!r || confirmation_pending_) return;
   confirmation_pending_ = true;
@@ -235,7 +235,7 @@
   if (answer == DutyAnswer::kAccepted) deliveries_.RecordAccepted(window);
   if (answer == DutyAnswer::kRefused) leadership_.RecordRefusal(token);
   if (answer == DutyAnswer::kFailed) deliveries_.RecordFailed(window, now);
-  metrics_.CountDuty("usage_sent", Name(answer));
+  metrics_.CountDutyStep("usage_sent", Name(answer));
   std::optional<int64_t> unix_ms = group_time_.UnixMsAt(now);
   LogEvent(
       "usage_sent",
--- a/src/usage_reporter.h
+++ b/src/usage_reporter.h
@@ -1,8 +1,8 @@
 // Reports usage to an outside system; one host does it for the whole group. The
-// reporter merges the counts of entries, has the report of a window committed
-// and sends committed reports. It does the input and output. The leadership and
-// schedule classes of the duty folder decide which host sends which report, and
-// when.
+// reporter merges the counts of entries, proposes the counts of each window for
+// commit and sends the committed reports. This class makes the calls and reads
+// the clocks. The leadership and schedule classes of the duty folder decide
+// which host sends which report, and when.
 #ifndef MEDLARWALK_USAGE_REPORTER_H_
 #define MEDLARWALK_USAGE_REPORTER_H_
 
@@ -26,7 +26,7 @@
 // The outcome of a report, from the outside system's answer.
 enum class DutyAnswer {
   kAccepted,
-  kRefused,  // The outside system has seen a higher token.
+  kRefused,  // The outside system has seen a higher fencing token.
   kFailed,   // Unknown outcome: the report may be accepted already, or later.
 };
 
@@ -73,8 +73,9 @@
   // leader.
   void MergePublished(const WatchReply& r);
   // Sets the group's time and the committed window in `r`, for followers.
-  void FillReply(WatchReply* r) const;
-  // Does all due work. Call regularly.
+  void SetGroupTimeAndCommittedWindow(WatchReply* r) const;
+  // Samples the wall clock, commits the window that is due and sends the report
+  // that is due. Must be called regularly.
   void Tick();
   const UsageTable& usage_table() const { return usage_table_; }
 
@@ -92,7 +93,7 @@
   // Returns whether a connection is established; opens one if there is none.
   bool EnsureConnected(TimePoint now);
   // Has a quorum confirm the leadership, then sends the due report.
-  void RequestConfirmation(TimePoint now);
+  void ConfirmLeadershipAndSend(TimePoint now);
   void SendReport(int64_t window, uint64_t token, TimePoint now);
   void OnCallEnded(int64_t window, uint64_t token, bool complete);
   void AbortCall(TimePoint now);
--- a/src/watch_client.cc
+++ b/src/watch_client.cc
@@ -14,8 +14,9 @@
 // control processes fail, their followers would otherwise overload the
 // remaining ones.
 constexpr auto kRetryDelay = Millis(40);
-// Time after the last failure when the preferred control process is tried
-// again. It may be the failed one, and may have recovered.
+// Delay after the last failure before the preferred control process is tried
+// again. The preferred process may be the one that failed, and may have
+// recovered.
 constexpr auto kReturnToPreferredAfter = std::chrono::seconds(3);
 
 }  // namespace
@@ -29,10 +30,10 @@
       seeds_(std::move(seeds)),
       on_reply_(std::move(on_reply)),
       links_(loop, clock) {
-  state_.name = options_.name;
-  state_.data_centre = options_.data_centre;
-  state_.address = options_.address;
-  state_.serves_callers = options_.serves_callers;
+  next_request_.name = options_.name;
+  next_request_.data_centre = options_.data_centre;
+  next_request_.address = options_.address;
+  next_request_.serves_callers = options_.serves_callers;
   InitTimer(&tick_, OnTick, kTickSeconds, kTickSeconds);
   tick_.data = this;
 }
@@ -128,7 +129,7 @@
                             {"turn_ms", options_.longest_iteration
                                             ? ToMs(options_.longest_iteration())
                                             : -1},
-                            {"config_version", state_.config_version}});
+                            {"config_version", next_request_.config_version}});
   std::vector<std::string> candidates = OrderedTargets();
   if (candidates.empty()) return;
   auto it = std::find(candidates.begin(), candidates.end(), target_);
@@ -149,10 +150,10 @@
   last_bytes_at_ = now;
   answer_began_at_ = {};
   if (options_.reports)
-    options_.reports->AttachPendingRecords(target_, now, &state_);
+    options_.reports->AttachPendingRecords(target_, now, &next_request_);
   uint64_t watch_number = ++watch_number_;
   stream_ = links_.Post(
-      target_, kWatchPath, Payload(EncodeWatchRequest(state_)),
+      target_, kWatchPath, Payload(EncodeWatchRequest(next_request_)),
       [this, watch_number](int status, const std::string& body) {
         OnAnswer(watch_number, body, status == 200);
       },
@@ -174,18 +175,19 @@
     return;
   }
   if (options_.reports) options_.reports->OnDelivered();
-  state_.quarantine_version = r->quarantine_version;
-  state_.limits_version = r->limits_version;
+  next_request_.quarantine_version = r->quarantine_version;
+  next_request_.limits_version = r->limits_version;
   bool in_sync =
       r->sync_age_ms >= 0 && r->sync_age_ms <= ToMs(options_.max_age);
   if (in_sync) consecutive_failures_ = 0;
-  // An out-of-sync process may still know the other control processes.
+  // The known control processes are updated even if the answering process is
+  // out of sync with the leader, because its answer may still name the others.
   if (!r->control.empty()) {
     known_endpoints_ = r->control;
-    state_.endpoints_version = EndpointsVersion(known_endpoints_);
+    next_request_.endpoints_version = EndpointsVersion(known_endpoints_);
   }
-  // The age of the list in the answer is relative to the arrival of the
-  // answer's first bytes.
+  // The age in the answer counts to the arrival of the answer's first bytes, so
+  // the time since then is added.
   if (r->list_age_ms >= 0)
     r->list_age_ms += ToMs(clock_.Now() - answer_began_at_);
   on_reply_(*r, in_sync);
--- a/src/watch_client.h
+++ b/src/watch_client.h
@@ -59,7 +59,7 @@
   void set_seeds(std::vector<std::string> seeds) { seeds_ = std::move(seeds); }
   // Returns the request that the next watch sends. Callers set in it the
   // versions that they hold.
-  WatchRequest& next_request() { return state_; }
+  WatchRequest& next_request() { return next_request_; }
 
  private:
   static void OnTick(struct ev_loop* loop, ev_timer* w, int revents);
@@ -77,7 +77,7 @@
   std::vector<ControlEndpoint> known_endpoints_;
   OnReply on_reply_;
   LinkPool links_;
-  WatchRequest state_;
+  WatchRequest next_request_;
   std::string pinned_;
   std::string target_;
   uint64_t watch_number_ = 0;  // Number of the last watch sent.
--- a/src/watch_reports.h
+++ b/src/watch_reports.h
@@ -29,7 +29,8 @@
   // wall clock time.
   void AttachPendingRecords(const std::string& target, TimePoint now,
                             WatchRequest* r);
-  // Records that the target has received the records added last.
+  // Marks the records added last as confirmed, because the target has received
+  // them.
   void OnDelivered();
   // Marks all records as unconfirmed: a target that failed may have lost its
   // state.
--- a/test/answer_end_test.cc
+++ b/test/answer_end_test.cc
@@ -59,13 +59,14 @@
     if (next < pieces.size()) tcp->Write(pieces[next]);
     if (next + 1 < pieces.size()) {
       // The delay is long enough for the client to read the pieces one by one.
-      Later(loop, 20, [=] { SendPiece(loop, tcp, pieces, next + 1, ending); });
+      CallAfter(loop, 20,
+                [=] { SendPiece(loop, tcp, pieces, next + 1, ending); });
     } else if (ending == Ending::kClose) {
       tcp->CloseAfterWrites();
     } else if (ending == Ending::kReset) {
       // The reset is delayed until the client has read the bytes, because a
       // reset drops bytes in transit.
-      Later(loop, 2, [tcp] { tcp->Reset(); });
+      CallAfter(loop, 2, [tcp] { tcp->Reset(); });
     }
   }
   int closed_by_client_ = 0;
@@ -275,7 +276,7 @@
   HttpCall call;
   call.url = absl::StrCat("http://", peer.endpoint().ToString(), "/");
   uint64_t id = client.Start(std::move(call));
-  Later(loop, 50, [&] { client.Cancel(id); });
+  CallAfter(loop, 50, [&] { client.Cancel(id); });
   CHECK_TRUE(RunLoopUntil(
       loop, [&] { return peer.closed_by_client() == 1; }, 500));
   LONGS_EQUAL(0, client.active());
--- a/test/base/errors_test.cc
+++ b/test/base/errors_test.cc
@@ -12,7 +12,7 @@
 TEST(errors, EveryKindRoundTripsThroughItsCode) {
   for (int i = 0; i < kErrorKindCount; ++i) {
     auto kind = static_cast<ErrorKind>(i);
-    CHECK(KindFromCode(ErrorAnswerFor(kind).code) == kind);
+    CHECK(ErrorKindFromCode(ErrorAnswerFor(kind).code) == kind);
     absl::Status s = MakeError(kind, "m");
     CHECK(ErrorKindOf(s) == kind);
   }
--- a/test/base/packed_test.cc
+++ b/test/base/packed_test.cc
@@ -1,5 +1,5 @@
-// Tests of the compression of documents: Unpack returns the original text or an
-// error.
+// Tests of the compression of documents: DecompressDocument returns the
+// original text or an error.
 #include "packed.h"
 
 #include "CppUTest/TestHarness.h"
@@ -27,50 +27,53 @@
 TEST(packed, UnpackRestoresTheText) {
   for (int routes : {0, 1, 30, 3000}) {
     std::string text = RoutesDocument(routes);
-    Document packed = Pack(text);
-    absl::StatusOr<std::string> unpacked = Unpack(*packed, text.size());
+    Document packed = CompressDocument(text);
+    absl::StatusOr<std::string> unpacked =
+        DecompressDocument(*packed, text.size());
     CHECK_TRUE(unpacked.ok());
     CHECK_TRUE(text == *unpacked);
   }
-  CHECK_TRUE(Unpack(*Pack(""), 10)->empty());
+  CHECK_TRUE(DecompressDocument(*CompressDocument(""), 10)->empty());
 }
 
 // Guards against slow delivery of a large configuration: one with 3,000 more
 // routes occupied the link of each entry for half a second.
 TEST(packed, ManyRoutesCompressToATenth) {
   std::string text = RoutesDocument(3000);
-  CHECK_TRUE(Pack(text)->size() * 10 < text.size());
+  CHECK_TRUE(CompressDocument(text)->size() * 10 < text.size());
 }
 
-// Unpack accepts uncompressed documents, which processes of an earlier version
-// store and send.
+// DecompressDocument accepts uncompressed documents, which processes of an
+// earlier version store and send.
 TEST(packed, UncompressedDocumentIsReturnedUnchanged) {
-  CHECK_EQUAL(std::string("{}"), *Unpack("{}", 10));
-  CHECK_EQUAL(std::string(), *Unpack("", 10));
+  CHECK_EQUAL(std::string("{}"), *DecompressDocument("{}", 10));
+  CHECK_EQUAL(std::string(), *DecompressDocument("", 10));
 }
 
-// Unpack returns an error for a truncated document. For a document with one
-// changed byte it returns an error or the original text, never another text.
+// DecompressDocument returns an error for a truncated document. For a document
+// with one changed byte it returns an error or the original text, never another
+// text.
 TEST(packed, DamagedDocumentIsAnError) {
   std::string text = RoutesDocument(30);
-  std::string packed = *Pack(text);
+  std::string packed = *CompressDocument(text);
   for (size_t n = 1; n < packed.size(); ++n) {
-    CHECK_FALSE(Unpack(packed.substr(0, n), text.size()).ok());
+    CHECK_FALSE(DecompressDocument(packed.substr(0, n), text.size()).ok());
   }
   for (size_t i = 1; i < packed.size(); ++i) {
     std::string damaged = packed;
     damaged[i] = static_cast<char>(damaged[i] ^ 0x10);
-    absl::StatusOr<std::string> unpacked = Unpack(damaged, text.size());
+    absl::StatusOr<std::string> unpacked =
+        DecompressDocument(damaged, text.size());
     CHECK_TRUE(!unpacked.ok() || *unpacked == text);
   }
 }
 
 // Guards against memory exhaustion by a small document: four kilobytes may
-// expand to four megabytes. Unpack must detect that the text is too large
-// without decompressing all of it.
+// expand to four megabytes. DecompressDocument must detect that the text is too
+// large without decompressing all of it.
 TEST(packed, OversizedDocumentIsAnError) {
   std::string text(4 << 20, 'x');
-  Document packed = Pack(text);
-  CHECK_FALSE(Unpack(*packed, text.size() - 1).ok());
-  CHECK_TRUE(Unpack(*packed, text.size()).ok());
+  Document packed = CompressDocument(text);
+  CHECK_FALSE(DecompressDocument(*packed, text.size() - 1).ok());
+  CHECK_TRUE(DecompressDocument(*packed, text.size()).ok());
 }
--- a/test/duty/duty_test.cc
+++ b/test/duty/duty_test.cc
@@ -426,7 +426,7 @@
       TimePoint now = g.group.clock.Now();
       if (faulty >= 0 && now >= fault_end) {
         g.group.Freeze(faulty, false);
-        g.group.HealAll();
+        g.group.RestoreAllLinks();
         if (!g.group.node(faulty)) g.group.Start(faulty);
         faulty = -1;
       }
@@ -435,7 +435,7 @@
       faulty = leader >= 0 && g.RandomBelow(4) != 0 ? leader : g.RandomBelow(5);
       fault_end = now + Millis(200 + g.RandomBelow(3000));
       int fault = g.RandomBelow(4);
-      if (fault == 0) g.group.Isolate(faulty, true);
+      if (fault == 0) g.group.SetIsolated(faulty, true);
       if (fault == 1) g.group.Freeze(faulty, true);
       if (fault >= 2) {
         g.group.Kill(faulty);
@@ -445,7 +445,7 @@
     }
     if (faulty >= 0) {
       g.group.Freeze(faulty, false);
-      g.group.HealAll();
+      g.group.RestoreAllLinks();
       if (!g.group.node(faulty)) g.group.Start(faulty);
     }
     g.no_faults = true;
--- a/test/large_config_test.cc
+++ b/test/large_config_test.cc
@@ -191,8 +191,8 @@
   });
   g->Run(std::chrono::seconds(3));
   CHECK_TRUE(done.value_or(false));
-  // Expected are one copy for each of the two followers, and one more for a
-  // late reply.
+  // The leader may send one copy to each of the two followers, and one more
+  // because of a late reply.
   CHECK_TRUE(g->bytes_sent < 5 * kDocumentBytes);
 }
 
@@ -206,7 +206,7 @@
   std::optional<bool> done;
   g->node(l)->Propose(7, MakeDocument(7),
                       [&](absl::Status s) { done = s.ok(); });
-  g->HealAll();
+  g->RestoreAllLinks();
   g->Run(std::chrono::seconds(2));
   CHECK_TRUE(done.value_or(false));
 }
--- a/test/later.h
+++ b/test/later.h
@@ -11,7 +11,7 @@
 namespace medlarwalk::testing {
 
 // Calls `f` once on `loop`, after `ms` milliseconds.
-inline void Later(struct ev_loop* loop, int ms, std::function<void()> f) {
+inline void CallAfter(struct ev_loop* loop, int ms, std::function<void()> f) {
   struct DelayedCall {
     ev_timer timer;
     std::function<void()> f;
--- a/test/replica_group.cc
+++ b/test/replica_group.cc
@@ -120,7 +120,7 @@
   }
 }
 
-void ReplicaGroup::Isolate(int n, bool cut) {
+void ReplicaGroup::SetIsolated(int n, bool cut) {
   for (int i = 0; i < size(); ++i) {
     if (i == n) continue;
     SetLinkCut(n, i, cut);
@@ -128,7 +128,7 @@
   }
 }
 
-void ReplicaGroup::HealAll() { cut_links_.clear(); }
+void ReplicaGroup::RestoreAllLinks() { cut_links_.clear(); }
 
 void ReplicaGroup::Send(int from, const std::string& address,
                         const ReplicaMessage& m) {
@@ -163,7 +163,7 @@
     Host& h = hosts_[static_cast<size_t>(f.to)];
     if (!h.replica || cut_links_.count({f.from, f.to})) continue;
     absl::StatusOr<ReplicaMessage> message = DecodeMessage(f.bytes);
-    std::optional<ReplicaMessage> reply = h.replica->Handle(*message);
+    std::optional<ReplicaMessage> reply = h.replica->HandleMessage(*message);
     if (reply) Send(f.to, message->from.address, *reply);
   }
 }
--- a/test/replica_group.h
+++ b/test/replica_group.h
@@ -49,8 +49,8 @@
   // Starts or stops dropping messages from `a` to `b`, in this direction only.
   void SetLinkCut(int a, int b, bool cut);
   // Disconnects or reconnects all links of host `n`, in both directions.
-  void Isolate(int n, bool cut);
-  void HealAll();
+  void SetIsolated(int n, bool cut);
+  void RestoreAllLinks();
 
   Replica* node(int n) { return hosts_[static_cast<size_t>(n)].replica.get(); }
   MemoryStore& store(int n) { return *hosts_[static_cast<size_t>(n)].store; }
--- a/test/replica_test.cc
+++ b/test/replica_test.cc
@@ -109,12 +109,12 @@
     CHECK_TRUE(leader >= 0);
     int behind = (leader + 1) % 3;
     int other = (leader + 2) % 3;
-    g.Isolate(behind, true);
+    g.SetIsolated(behind, true);
     CHECK_TRUE(ProposeAndWait(g, 7));
     g.Kill(leader);
     g.Wipe(other);
     g.Start(other);
-    g.HealAll();
+    g.RestoreAllLinks();
     g.Run(std::chrono::seconds(8));
     LONGS_EQUAL(-1, g.Leader());
     // When the host with the configuration is back, the group works again and
@@ -177,9 +177,9 @@
   ReplicaGroup g(3, 5);
   int leader = g.AwaitLeader(kMaxLeaderWait);
   uint64_t term = g.node(leader)->term();
-  g.Isolate((leader + 1) % 3, true);
+  g.SetIsolated((leader + 1) % 3, true);
   g.Run(std::chrono::seconds(5));
-  g.HealAll();
+  g.RestoreAllLinks();
   g.Run(std::chrono::seconds(3));
   LONGS_EQUAL(leader, g.Leader());
   LONGS_EQUAL(term, g.node(leader)->term());
@@ -215,9 +215,9 @@
 // Guards against a restarted entry process that serves from an old
 // configuration. All hosts restart, one of them with an empty disk, and the
 // entry queries a replica while the group is forming. A replica in contact with
-// a leader may still be out of date. It may not have applied all that the
-// leader knows to be committed, or the leader may not have committed anything
-// in its term.
+// a leader counts as up to date only if the leader has committed an entry of
+// its own term and the replica has applied all that the leader knows to be
+// committed.
 TEST(replica, UpToDateOnlyWithAllCommittedEntries) {
   for (uint64_t seed = 1; seed <= 40; ++seed) {
     ReplicaOptions o;
@@ -262,11 +262,10 @@
 }
 
 // Guards against a group without a leader for a second. All processes were
-// stopped at once, and one of four hosts lost its disk. The other three hosts
-// start together, and all three votes are needed. If two of them send pre-votes
-// at the same time, both win the pre-vote and then vote for themselves, and
-// each retry waits longer. One of two concurrent candidates must therefore
-// yield.
+// stopped at once, one of four hosts lost its disk, and the votes of all three
+// other hosts are needed. If two of them send pre-votes at the same time, one
+// must yield. Otherwise both win the pre-vote and vote for themselves, and each
+// retry waits longer.
 TEST(replica, ConcurrentCandidatesDoNotSplitTheVote) {
   ElectionTimes t = MeasureElectionTimes(60, [](ReplicaGroup& g) {
     g.AddJoiner();
@@ -316,13 +315,13 @@
       } else if (action < 88) {
         g.Freeze(n, false);
       } else if (action < 92) {
-        g.Isolate(n, true);
+        g.SetIsolated(n, true);
       } else if (action < 96) {
-        g.HealAll();
+        g.RestoreAllLinks();
       } else if (g.clock.Now() - wiped_at > std::chrono::seconds(15)) {
         // All other hosts are started and catch up first, so that only one disk
         // is lost at a time.
-        g.HealAll();
+        g.RestoreAllLinks();
         for (int i = 0; i < g.size(); ++i) {
           g.Freeze(i, false);
           g.Start(i);
@@ -335,7 +334,7 @@
       }
       g.Run(Millis(percent(g.random) * 5));
     }
-    g.HealAll();
+    g.RestoreAllLinks();
     g.drop_rate = 0;
     for (int i = 0; i < g.size(); ++i) {
       g.Freeze(i, false);
