--- a/src/control.cc
+++ b/src/control.cc
@@ -331,7 +331,8 @@
 }
 
 // Logs the memory use when it has changed by kMemoryStep. If the process is
-// killed for its memory, the last lines show what filled it.
+// killed for its memory, the last of these log lines show what the memory
+// held.
 void Control::LogMemoryChange(TimePoint now) {
   if (now - memory_logged_at_ < kMemoryLogInterval) return;
   size_t held = ReadHeapUse().held;
--- a/src/replica.cc
+++ b/src/replica.cc
@@ -384,7 +384,8 @@
   reply.index = LastLogIndex();
   if (m.index > LastLogIndex() ||
       (m.index > snapshot_.index && TermAt(m.index) != m.log_term)) {
-    // The reply holds the last index at which the logs may still match.
+    // The reply tells the leader the last index at which the logs may still
+    // match.
     reply.index = std::min(LastLogIndex(), m.index > 0 ? m.index - 1 : 0);
     return reply;
   }
--- a/src/usage_reporter.cc
+++ b/src/usage_reporter.cc
@@ -156,8 +156,8 @@
   }
   const DutyLog::Subject& subject = r->duties().FindSubject(kUsageSubject);
   std::optional<int64_t> window = deliveries_.NextToSend(subject, now);
-  // The connection is opened before the leadership is confirmed, because the
-  // confirmation must be recent when the call is sent.
+  // The connection to the outside system is opened before the leadership is
+  // confirmed, because the confirmation must be recent when the call is sent.
   if (!window || !EnsureConnected(now)) return;
   std::optional<uint64_t> token = leadership_.UsableToken(now);
   if (token) {
--- a/src/watch_client.cc
+++ b/src/watch_client.cc
@@ -71,8 +71,8 @@
   TimePoint last_bytes_at = last_bytes_at_;
   CancelWatch();
   SendWatch();
-  // The time of the last bytes is kept, because a restarted watch must not
-  // extend the timeout of a silent target.
+  // The time of the last bytes from an unchanged target is kept, because a
+  // restarted watch must not extend the timeout of a silent target.
   if (target_ == previous_target) last_bytes_at_ = last_bytes_at;
 }
 
