--- a/src/agent.cc
+++ b/src/agent.cc
@@ -287,12 +287,12 @@
         AnswerInterruptedCall(name, *forwarded, std::string(r.status.message()),
                               kMaxLivenessChecks);
       } else {
-        forwarded->out->Reset();
+        forwarded->out->Abort();
       }
     } else {
       if (!forwarded->relaying)
         forwarded->out->Respond(r.http_status, {{kH2Started, "1"}}, "");
-      forwarded->out->Finish();
+      forwarded->out->FinishStream();
     }
   };
   uint64_t id = client_.Start(std::move(call));
--- a/src/caller_server.cc
+++ b/src/caller_server.cc
@@ -105,7 +105,7 @@
     DetachExchange();
     server_->connections_.erase(this);
     if (reset) {
-      tcp_->Reset();
+      tcp_->CloseWithReset();
       return;
     }
     tcp_->CloseAfterWrites();
@@ -135,7 +135,7 @@
 
  private:
   void PrepareForNextRequest() {
-    parser_.Reset();
+    parser_.PrepareForNextMessage();
     request_done_ = false;
   }
 
--- a/src/drill.cc
+++ b/src/drill.cc
@@ -13,8 +13,8 @@
 
 constexpr char kDrillVariable[] = "MEDLARWALK_DRILL";
 constexpr int kMicrosPerMilli = 1000;
-// Upper bound of the injected write delay. Disks of the platform hang for
-// seconds.
+// Upper bound of the injected write delay. It allows delays of several seconds,
+// because disks of the platform hang for seconds.
 constexpr int kMaxDiskDelayMs = 10000;
 
 // Returns the JSON object in the file at `path`; an empty object when the file
@@ -43,7 +43,7 @@
   return active() ? IntFromKey(ReadJsonObject(path_), "peer_listen_port") : 0;
 }
 
-absl::Status Drill::BeforeWrite() const {
+absl::Status Drill::ApplyDiskFaults() const {
   if (!active()) return absl::OkStatus();
   nlohmann::json j = ReadJsonObject(path_);
   int ms = std::min(IntFromKey(j, "disk_ms"), kMaxDiskDelayMs);
--- a/src/drill.h
+++ b/src/drill.h
@@ -24,9 +24,9 @@
   static Drill FromEnvironment();
   bool active() const { return !path_.empty(); }
   int peer_listen_port() const;
-  // Applies the disk faults before a write: blocks like a slow disk. Errors:
-  // Unavailable, as on a full disk.
-  absl::Status BeforeWrite() const;
+  // Call before each write to disk. Blocks for the injected delay, like a slow
+  // disk. Errors: Unavailable, as on a full disk.
+  absl::Status ApplyDiskFaults() const;
 
  private:
   std::string path_;
--- a/src/event_stream.h
+++ b/src/event_stream.h
@@ -54,7 +54,7 @@
   }
   // Returns the number of buffered bytes that are not yet a complete event.
   size_t pending() const { return buf_.size(); }
-  void Reset() { buf_.clear(); }
+  void DiscardPendingBytes() { buf_.clear(); }
 
  private:
   std::string buf_;
--- a/src/fake_engine.cc
+++ b/src/fake_engine.cc
@@ -194,7 +194,7 @@
           {"choices", {{{"index", 0}, {"delta", {{"content", token}}}}}}};
       r.exchange->Write(absl::StrCat("data: ", chunk.dump(), "\n\n"));
       if (last && !truncate) r.exchange->Write("data: [DONE]\n\n");
-      if (last || truncate) r.exchange->Finish();
+      if (last || truncate) r.exchange->FinishStream();
     } else {
       r.answer_text += token;
       if (truncate) {
--- a/src/gateway.cc
+++ b/src/gateway.cc
@@ -327,7 +327,7 @@
   r.have_head = false;
   r.relaying = false;
   r.held_body.clear();
-  r.splitter.Reset();
+  r.splitter.DiscardPendingBytes();
   if (u.in_flight == 0) u.last_activity_at = now;
   ++u.in_flight;
   if (u.limit_per_s) UseSendSlot(u, now);
--- a/src/h2.cc
+++ b/src/h2.cc
@@ -22,12 +22,12 @@
 // prevents a rapid sequence of failing attempts while an agent is dead.
 constexpr auto kReconnectBackoff = std::chrono::milliseconds(200);
 
-// Time limits of a connection attempt: initial and largest. A reachable host
-// answers within a round trip, and a new connection resends a lost first packet
-// sooner than the kernel retransmits it. The limit doubles after each failure,
-// because a round trip takes longer over a link where packets queue. With a
-// limit below that round trip, no attempt would ever succeed, and the attempts
-// would lengthen the queue.
+// Time limits of a connection attempt: initial and largest. The initial limit
+// is short, because a reachable host answers within a round trip, and a new
+// connection resends a lost first packet sooner than the kernel retransmits it.
+// The limit doubles after each failure, because a round trip takes longer over
+// a link where packets queue. With a limit below that round trip, no attempt
+// would ever succeed, and the attempts would lengthen the queue.
 constexpr auto kConnectTimeout = std::chrono::milliseconds(300);
 constexpr auto kMaxConnectTimeout = std::chrono::milliseconds(1200);
 
@@ -58,13 +58,13 @@
   connection_->ResumeAnswer(*this);
 }
 
-void H2Stream::Finish() {
+void H2Stream::FinishStream() {
   if (closed_ || finished_) return;
   finished_ = true;
   if (started_) connection_->ResumeAnswer(*this);
 }
 
-void H2Stream::Reset() {
+void H2Stream::Abort() {
   if (closed_ || finished_) return;
   finished_ = true;
   connection_->ResetStream(*this);
--- a/src/h2.h
+++ b/src/h2.h
@@ -49,13 +49,13 @@
   }
   void StartStream(int status, const HeaderList& headers);
   void Write(absl::string_view data);
-  void Finish();
+  void FinishStream();
   // Ends the stream with RST_STREAM, so that the peer treats the answer as
   // incomplete.
-  void Reset();
+  void Abort();
   bool closed() const { return closed_; }
   // Sets a callback that runs once if the stream ends (reset, connection lost)
-  // before Finish().
+  // before FinishStream().
   void set_on_close(std::function<void()> f) { on_close_ = std::move(f); }
 
  private:
--- a/src/h2_connection.h
+++ b/src/h2_connection.h
@@ -157,8 +157,8 @@
   bool connected() const { return connected_; }
   bool ping_outstanding() const { return ping_outstanding_; }
   TimePoint ping_sent_at() const { return ping_sent_at_; }
-  // Returns the time from which on a ping is outstanding and no bytes have been
-  // received. Returns `now` when no ping is outstanding. Any received bytes
+  // Returns the time since which a ping has been outstanding and no bytes have
+  // been received, or `now` when no ping is outstanding. Any received bytes
   // count, because the answer to a ping may be queued behind a lot of other
   // data.
   TimePoint SilentSince(TimePoint now) {
@@ -281,7 +281,7 @@
   }
 
   // Makes the owner delete this connection.
-  void NotifyOwner() {
+  void RemoveFromOwner() {
     if (server_) {
       server_->RemoveConnection(this);
     } else {
@@ -292,7 +292,7 @@
   static void OnReadable(struct ev_loop*, ev_io* w, int revents) {
     auto* c = static_cast<H2Connection*>(w->data);
     if (c->dead_ || (revents & EV_CUSTOM)) {
-      if (c->dead_) c->NotifyOwner();
+      if (c->dead_) c->RemoveFromOwner();
       return;
     }
     char buf[kH2ReadBlock];
--- a/src/http1.cc
+++ b/src/http1.cc
@@ -201,7 +201,7 @@
   });
 }
 
-void Http1Parser::Reset() { CreateParser(); }
+void Http1Parser::PrepareForNextMessage() { CreateParser(); }
 
 void Http1Parser::ExpectNoBody() {
   if (impl_->answer) impl_->answer->skip(true);
--- a/src/http1.h
+++ b/src/http1.h
@@ -92,9 +92,11 @@
   bool is_close_delimited() const;
   // Returns how the end of the message was detected. Precondition: done().
   EndDetection end_detection() const;
-  // Prepares for the next message. Precondition: done() or not started().
-  void Reset();
-  // States that the next answer has no body because it answers a HEAD request.
+  // Prepares the parser for the next message. Precondition: done() or not
+  // started().
+  void PrepareForNextMessage();
+  // Tells the parser that the next answer has no body because it answers a HEAD
+  // request.
   void ExpectNoBody();
 
  private:
--- a/src/http1_client.cc
+++ b/src/http1_client.cc
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr uint32_t kAnswerHeaderLimit = 64 * 1024;
-// Effectively no limit. The owner of the call limits how much of an answer it
-// keeps in memory.
+// Size limit of an answer's body, in effect none: the owner of the call limits
+// how much of an answer it keeps in memory.
 constexpr uint64_t kAnswerBodyLimit = 1ull << 40;
 // Time for which an idle connection may be reused if the upstream states no
 // idle time.
@@ -90,7 +90,7 @@
   sent_ = false;
   answers_call_ = false;
   message_end_ = false;
-  parser_.Reset();
+  parser_.PrepareForNextMessage();
   if (is_head_request_) parser_.ExpectNoBody();
   if (established()) OnConnected();
 }
@@ -138,7 +138,7 @@
       EndCall(CallEnd::kNoAnswer, "closed after another answer");
       return;
     }
-    parser_.Reset();
+    parser_.PrepareForNextMessage();
     if (is_head_request_) parser_.ExpectNoBody();
     return;
   }
--- a/src/http1_client.h
+++ b/src/http1_client.h
@@ -47,7 +47,7 @@
   bool sent() const override { return sent_; }
   void SetReadPaused(bool paused) override;
   TimePoint idle_since() const override { return idle_since_; }
-  // Returns how long the connection may be reused while idle, as stated by the
+  // Returns how long the idle connection may be reused, as stated by the
   // upstream or by default.
   Duration keep_for() const override { return keep_alive_time_; }
 
--- a/src/http_client.cc
+++ b/src/http_client.cc
@@ -40,7 +40,7 @@
   curl_multi_setopt(multi_, CURLMOPT_SOCKETDATA, this);
   curl_multi_setopt(multi_, CURLMOPT_TIMERFUNCTION, &OnTimerChange);
   curl_multi_setopt(multi_, CURLMOPT_TIMERDATA, this);
-  InitTimer(&timer_, OnTimer, 0., 0.);
+  InitTimer(&timer_, OnCurlTimeout, 0., 0.);
   timer_.data = this;
   InitTimer(&remove_cancelled_timer_, OnRemoveCancelled, 0., 0.);
   remove_cancelled_timer_.data = this;
@@ -49,7 +49,7 @@
 HttpClient::~HttpClient() {
   ev_timer_stop(loop_, &timer_);
   ev_timer_stop(loop_, &remove_cancelled_timer_);
-  while (!calls_.empty()) Remove(calls_.begin()->first);
+  while (!calls_.empty()) RemoveCall(calls_.begin()->first);
   curl_multi_cleanup(multi_);
 }
 
@@ -102,7 +102,7 @@
   ev_timer_start(loop_, &remove_cancelled_timer_);
 }
 
-void HttpClient::Remove(uint64_t id) {
+void HttpClient::RemoveCall(uint64_t id) {
   auto it = calls_.find(id);
   if (it == calls_.end()) return;
   curl_multi_remove_handle(multi_, it->second->easy);
@@ -149,7 +149,7 @@
     }
     auto done = std::move(a->call.on_done);
     bool cancelled = a->cancelled;
-    Remove(id);
+    RemoveCall(id);
     if (done && !cancelled) done(r);
   }
 }
@@ -205,10 +205,10 @@
   for (const auto& [id, a] : self->calls_) {
     if (a->cancelled) cancelled.push_back(id);
   }
-  for (uint64_t id : cancelled) self->Remove(id);
+  for (uint64_t id : cancelled) self->RemoveCall(id);
 }
 
-void HttpClient::OnTimer(struct ev_loop*, ev_timer* w, int) {
+void HttpClient::OnCurlTimeout(struct ev_loop*, ev_timer* w, int) {
   auto* self = static_cast<HttpClient*>(w->data);
   int running = 0;
   curl_multi_socket_action(self->multi_, CURL_SOCKET_TIMEOUT, 0, &running);
--- a/src/http_client.h
+++ b/src/http_client.h
@@ -75,7 +75,7 @@
                       void* socketp);
   static int OnTimerChange(CURLM* multi, long timeout_ms, void* userp);
   static void OnIo(struct ev_loop* loop, ev_io* w, int revents);
-  static void OnTimer(struct ev_loop* loop, ev_timer* w, int revents);
+  static void OnCurlTimeout(struct ev_loop* loop, ev_timer* w, int revents);
   static void OnRemoveCancelled(struct ev_loop* loop, ev_timer* w, int revents);
   static size_t OnWrite(char* ptr, size_t size, size_t n, void* userdata);
   static int OnPrereq(void* userdata, char* conn_primary_ip,
@@ -83,7 +83,7 @@
                       int conn_local_port);
   // Calls on_done of the finished calls and removes them.
   void DeliverFinishedCalls();
-  void Remove(uint64_t id);
+  void RemoveCall(uint64_t id);
 
   struct ev_loop* loop_;
   CURLM* multi_;
--- a/src/http_server.cc
+++ b/src/http_server.cc
@@ -68,7 +68,7 @@
   ResumeConnection();
 }
 
-void HttpExchange::Finish() {
+void HttpExchange::FinishStream() {
   if (closed_ || finished_) return;
   finished_ = true;
   ResumeConnection();
@@ -87,12 +87,12 @@
     suspended_ = false;
     MHD_resume_connection(connection_);
   }
-  if (server_) server_->ScheduleRun();
+  if (server_) server_->ScheduleDaemonRun();
 }
 
 HttpServer::HttpServer(struct ev_loop* loop, HttpHandler handler)
     : loop_(loop), handler_(std::move(handler)) {
-  InitTimer(&timer_, OnTimer, 0., 0.);
+  InitTimer(&timer_, OnDaemonTimeout, 0., 0.);
   timer_.data = this;
 }
 
@@ -124,7 +124,7 @@
   ev_io_init(&io_, OnIo, info->epoll_fd, EV_READ);
   io_.data = this;
   ev_io_start(loop_, &io_);
-  ScheduleRun();
+  ScheduleDaemonRun();
   return absl::OkStatus();
 }
 
@@ -200,7 +200,7 @@
     return static_cast<ssize_t>(n);
   }
   if (ex->finished_) return MHD_CONTENT_READER_END_OF_STREAM;
-  // Nothing to send yet. Suspend the connection until Write() or Finish()
+  // Nothing to send yet. Suspend the connection until Write() or FinishStream()
   // resumes it; otherwise MHD would call this function in a busy loop.
   ex->suspended_ = true;
   MHD_suspend_connection(ex->connection_);
@@ -233,7 +233,7 @@
   }
 }
 
-void HttpServer::ScheduleRun() {
+void HttpServer::ScheduleDaemonRun() {
   if (!daemon_) return;
   ev_timer_stop(loop_, &timer_);
   ev_timer_set(&timer_, 0., 0.);
@@ -244,7 +244,7 @@
   static_cast<HttpServer*>(w->data)->RunDaemon();
 }
 
-void HttpServer::OnTimer(struct ev_loop*, ev_timer* w, int) {
+void HttpServer::OnDaemonTimeout(struct ev_loop*, ev_timer* w, int) {
   static_cast<HttpServer*>(w->data)->RunDaemon();
 }
 
--- a/src/http_server.h
+++ b/src/http_server.h
@@ -34,15 +34,15 @@
 };
 
 // Sends the answer to one request. The handler calls either Respond() once, or
-// StartStream() once, Write() any number of times and then Finish(). Calls
-// after the caller has disconnected are ignored. Thread safety: loop thread
-// only.
+// StartStream() once, Write() any number of times and then FinishStream().
+// Calls after the caller has disconnected are ignored. Thread safety: loop
+// thread only.
 class HttpExchange {
  public:
   void Respond(int status, const HeaderList& headers, std::string body);
   void StartStream(int status, const HeaderList& headers);
   void Write(absl::string_view data);
-  void Finish();
+  void FinishStream();
   // Ends a stream without its last chunk and closes the connection, so that the
   // caller cannot mistake a truncated answer for a complete one.
   void Abort();
@@ -106,13 +106,13 @@
                           MHD_RequestTerminationCode toe);
   static ssize_t ReadStream(void* cls, uint64_t pos, char* buf, size_t max);
   static void OnIo(struct ev_loop* loop, ev_io* w, int revents);
-  static void OnTimer(struct ev_loop* loop, ev_timer* w, int revents);
+  static void OnDaemonTimeout(struct ev_loop* loop, ev_timer* w, int revents);
   MHD_Result QueueAnswer(HttpExchange& ex);
   // Runs MHD once and sets the timer to MHD's next timeout.
   void RunDaemon();
   // Schedules RunDaemon() from the loop. MHD notices a resumed connection only
   // when it runs once more; running it from the loop prevents nested callbacks.
-  void ScheduleRun();
+  void ScheduleDaemonRun();
 
   struct ev_loop* loop_;
   HttpHandler handler_;
--- a/src/main.cc
+++ b/src/main.cc
@@ -75,7 +75,8 @@
   return port;
 }
 
-// Starts `role` and runs the event loop until it ends. Returns the exit status.
+// Starts `role` and runs the event loop until the loop ends. Returns the exit
+// status.
 template <typename Role>
 int Serve(struct ev_loop* loop, Role& role) {
   absl::Status s = role.Start();
@@ -166,8 +167,9 @@
 }
 
 int Main(int argc, char** argv) {
-  // Without this, SIGPIPE would terminate the process when a peer disconnects
-  // during a write: an entry whose caller left, or an agent whose entry died.
+  // SIGPIPE is ignored. Otherwise it would terminate the process when a peer
+  // disconnects during a write: an entry whose caller left, or an agent whose
+  // entry died.
   std::signal(SIGPIPE, SIG_IGN);
   absl::SetProgramUsageMessage(kUsage);
   std::vector<char*> args = absl::ParseCommandLine(argc, argv);
--- a/src/settings.cc
+++ b/src/settings.cc
@@ -19,7 +19,8 @@
 };
 
 // Reads one JSON object. Each getter checks type and range and throws
-// SettingsFault with the path. Finish() rejects keys that no getter has read.
+// SettingsFault with the path. RejectUnreadKeys() throws for keys that no
+// getter has read.
 class ObjectReader {
  public:
   ObjectReader(const json& value, std::string path)
@@ -28,7 +29,7 @@
   }
 
   // Rejects any key that was not read. Call after all getters.
-  void Finish() const {
+  void RejectUnreadKeys() const {
     for (const auto& [key, unused] : value_.items()) {
       if (!seen_.count(key)) {
         throw SettingsFault{Path(key), "unknown key"};
@@ -130,7 +131,7 @@
   h.address = r.String("address");
   h.port = static_cast<int>(r.Int("port", 1, kMaxPort));
   h.metrics_port = static_cast<int>(r.Int("metrics_port", 0, kMaxPort, false));
-  r.Finish();
+  r.RejectUnreadKeys();
   return h;
 }
 
@@ -141,7 +142,7 @@
   c.tier = static_cast<Tier>(r.Int("tier", 0, kMaxTier));
   c.first_token_target = Millis(r.Int("first_token_ms", 1, kMaxTargetMs));
   c.between_tokens_target = Millis(r.Int("between_tokens_ms", 1, kMaxTargetMs));
-  r.Finish();
+  r.RejectUnreadKeys();
   return c;
 }
 
@@ -152,7 +153,7 @@
   a.classes = r.Strings("classes", true);
   a.max_in_flight =
       static_cast<int>(r.Int("max_in_flight", 0, 1'000'000, false));
-  r.Finish();
+  r.RejectUnreadKeys();
   return a;
 }
 
@@ -169,7 +170,7 @@
   u.models = r.Strings("models", u.kind == "engine");
   u.checks_fencing = r.Bool("checks_fencing", false);
   u.max_in_flight = static_cast<int>(r.Int("max_in_flight", 1, 100'000));
-  r.Finish();
+  r.RejectUnreadKeys();
   return u;
 }
 
@@ -182,7 +183,7 @@
       static_cast<int>(r.Int("retry_budget_percent", 0, 100));
   p.ping_interval = Millis(r.Int("ping_interval_ms", 10, 600'000, false, 1000));
   p.ping_timeout = Millis(r.Int("ping_timeout_ms", 10, 600'000, false, 3000));
-  r.Finish();
+  r.RejectUnreadKeys();
   return p;
 }
 
@@ -283,7 +284,7 @@
       s.upstreams.push_back(ReadUpstream(v, p));
     });
     s.entry = ReadEntryPolicy(*r.Find("entry", true), "$.entry");
-    r.Finish();
+    r.RejectUnreadKeys();
     CheckReferences(s);
     return s;
   } catch (const SettingsFault& f) {
--- a/src/settings.h
+++ b/src/settings.h
@@ -50,7 +50,7 @@
   std::string url;    // Base URL the agent calls, e.g. http://127.0.0.1:9001
   // Models that an engine serves; empty for services.
   std::vector<std::string> models;
-  // Whether the upstream rejects stale orders itself.
+  // Whether the upstream itself rejects orders with an outdated fencing number.
   bool checks_fencing = false;
   int max_in_flight = 0;  // Maximum concurrent requests from one entry.
 };
@@ -58,10 +58,12 @@
 // Admission and scheduling limits of each entry.
 struct EntryPolicy {
   int queue_limit = 0;  // Maximum queued requests per entry, over all classes.
-  Millis starvation_bound{0};  // Wait after which a lower-tier request starves.
+  Millis starvation_bound{
+      0};  // Wait after which a lower-tier request counts as starving.
   int retry_budget_percent = 0;  // Retries in percent of first attempts.
   Millis ping_interval{0};       // Interval of HTTP/2 PINGs to each agent.
-  Millis ping_timeout{0};        // Silence after which a connection is closed.
+  Millis ping_timeout{0};        // Time without received bytes after which a
+                                 // connection to an agent is closed.
 };
 
 // The content of a settings file.
--- a/src/tcp.cc
+++ b/src/tcp.cc
@@ -85,7 +85,7 @@
     : loop_(loop), fd_(fd), connected_(!connecting) {
   ev_io_init(&io_, OnIo, fd, EV_READ);
   io_.data = this;
-  ev_init(&timer_, OnTimer);
+  ev_init(&timer_, OnConnectFailure);
   ev_set_priority(&timer_, kTimerPriority);
   timer_.data = this;
 }
@@ -137,7 +137,7 @@
   events_ = {};
 }
 
-void TcpConnection::Reset() {
+void TcpConnection::CloseWithReset() {
   linger reset_on_close{1, 0};
   if (fd_ >= 0) {
     setsockopt(fd_, SOL_SOCKET, SO_LINGER, &reset_on_close,
@@ -158,7 +158,7 @@
   if (self->fd_ >= 0 && (revents & EV_READ)) self->OnReadable();
 }
 
-void TcpConnection::OnTimer(struct ev_loop*, ev_timer* w, int) {
+void TcpConnection::OnConnectFailure(struct ev_loop*, ev_timer* w, int) {
   auto self = static_cast<TcpConnection*>(w->data)->shared_from_this();
   self->CloseAndNotify(absl::UnavailableError("connect timed out or failed"));
 }
@@ -235,7 +235,7 @@
 Acceptor::Acceptor(struct ev_loop* loop, std::function<void(int fd)> on_accept,
                    int priority)
     : loop_(loop), on_accept_(std::move(on_accept)), priority_(priority) {
-  InitTimer(&retry_, OnRetry, kAcceptRetrySeconds, 0.);
+  InitTimer(&retry_, OnAcceptRetry, kAcceptRetrySeconds, 0.);
   retry_.data = this;
 }
 
@@ -295,7 +295,7 @@
   UpdateWatcher();
 }
 
-void Acceptor::OnRetry(struct ev_loop*, ev_timer* w, int) {
+void Acceptor::OnAcceptRetry(struct ev_loop*, ev_timer* w, int) {
   static_cast<Acceptor*>(w->data)->UpdateWatcher();
 }
 
--- a/src/tcp.h
+++ b/src/tcp.h
@@ -65,7 +65,7 @@
   void Close();
   // Closes the connection immediately with a TCP reset, so that the peer cannot
   // mistake it for an orderly end. No callback follows.
-  void Reset();
+  void CloseWithReset();
   // Pauses or resumes reading, for backpressure.
   void SetReadPaused(bool paused);
   bool open() const { return fd_ >= 0; }
@@ -79,7 +79,7 @@
 
  private:
   static void OnIo(struct ev_loop* loop, ev_io* w, int revents);
-  static void OnTimer(struct ev_loop* loop, ev_timer* w, int revents);
+  static void OnConnectFailure(struct ev_loop* loop, ev_timer* w, int revents);
   // Watches the socket for the events that the current state needs.
   void UpdateWatchedEvents();
   void OnReadable();
@@ -123,7 +123,7 @@
 
  private:
   static void OnIo(struct ev_loop* loop, ev_io* w, int revents);
-  static void OnRetry(struct ev_loop* loop, ev_timer* w, int revents);
+  static void OnAcceptRetry(struct ev_loop* loop, ev_timer* w, int revents);
   // Starts or stops watching the socket, according to paused_ and retry_.
   void UpdateWatcher();
 
--- a/test/answer_end_test.cc
+++ b/test/answer_end_test.cc
@@ -65,7 +65,7 @@
     } else if (ending == Ending::kReset) {
       // The reset is delayed until the client has read the bytes, because a
       // reset drops bytes in transit.
-      Later(loop, 2, [tcp] { tcp->Reset(); });
+      Later(loop, 2, [tcp] { tcp->CloseWithReset(); });
     }
   }
   int closed_by_client_ = 0;
--- a/test/h2_test.cc
+++ b/test/h2_test.cc
@@ -34,11 +34,10 @@
 
 TEST_GROUP(h2){};
 
-// Guards against cancelling the wrong request. A peer sends GOAWAY while stream
-// 1 of the first request runs. The second request opens a new connection, where
-// its stream also has id 1. The first request is then cancelled. The client
-// cancelled by stream id on the newest connection, which truncated the second
-// answer.
+// Guards against cancelling the wrong request. After a GOAWAY the first request
+// runs on the old connection and the second on a new one, and both streams have
+// id 1. A client that cancels by stream id on the newest connection would
+// truncate the answer to the second request when the first is cancelled.
 TEST(h2, CancelUsesTheConnectionOfTheStream) {
   struct ev_loop* loop = ev_loop_new(EVFLAG_AUTO);
   {
@@ -161,8 +160,8 @@
   c->Close();
 }
 
-// Guards against a timeout that expires too early. It is set late in a long
-// loop iteration but counts from the start of the iteration, so it expires
+// Guards against a timeout that expires too early. A timeout that is set late
+// in a long loop iteration but counts from the start of the iteration expires
 // before the loop polls the socket.
 TEST(h2, TimeoutCountsFromWhenItIsSet) {
   ClientAndServerLoops loops;
--- a/test/large_config_test.cc
+++ b/test/large_config_test.cc
@@ -319,7 +319,7 @@
     sent += 16'000;
     next = clock.Now() + Millis(150);  // Sending the document takes 1.9 s.
     if (sent >= bytes.size()) {
-      answer->Finish();
+      answer->FinishStream();
       answer.reset();
     }
   }
