--- a/src/agent.cc
+++ b/src/agent.cc
@@ -54,7 +54,8 @@
 
 }  // namespace
 
-// State of one forwarded call, shared by its callbacks.
+// State of one call that the agent forwards to its upstream, shared by the
+// callbacks of the call.
 struct Agent::ForwardedCall {
   std::shared_ptr<H2Stream> out;
   TimePoint sent_at{};
@@ -64,7 +65,7 @@
   bool event_stream = false;
   bool end_marker_seen = false;
   int status = 0;
-  // Last bytes received, searched for the end-of-stream marker.
+  // Last bytes of the answer, searched for the end marker.
   std::string tail;
   // Answer so far, if the call has an idempotency key.
   std::string answer_for_ledger;
@@ -123,7 +124,7 @@
   ev_timer_start(loop_, &drain_timer_);
 }
 
-void Agent::CheckDrained() {
+void Agent::StopIfDrained() {
   bool timed_out = clock_.Now() - drain_started_ > kMaxDrainTime;
   if (server_.open_streams() == 0 || timed_out) {
     LogEvent("drain_finished", {{"open_streams", server_.open_streams()},
@@ -137,7 +138,7 @@
 }
 
 void Agent::OnDrainTimer(struct ev_loop*, ev_timer* w, int) {
-  static_cast<Agent*>(w->data)->CheckDrained();
+  static_cast<Agent*>(w->data)->StopIfDrained();
 }
 
 void Agent::ServeMetrics(const HttpRequest& req,
@@ -244,9 +245,9 @@
   call.on_data = [forwarded](absl::string_view data) {
     if (!forwarded->relaying) {
       forwarded->relaying = true;
-      // Detects the streams of engines that do not send a content type. A
-      // content type that is sent takes precedence, because the first chunk may
-      // be shorter than "data:".
+      // Detects the streams of engines that do not send a content type. If the
+      // content type says that the answer is a stream, it is one even if the
+      // first chunk is shorter than "data:".
       forwarded->event_stream |= absl::StartsWith(data, "data:");
       forwarded->out->StartStream(
           forwarded->status,
@@ -305,8 +306,9 @@
 }
 
 // Answers a call that was interrupted. Checks first whether the upstream
-// process has terminated. If so, the answer carries the id of the termination,
-// so that entries know which requests the process was running.
+// process has terminated. If so, the answer carries the id of this termination.
+// From equal ids, entries recognize the requests that the same process was
+// running.
 void Agent::AnswerInterruptedCall(const std::string& upstream,
                                   const ForwardedCall& interrupted_call,
                                   std::string reason, int checks_left) {
@@ -317,8 +319,8 @@
   check.timeout = check.connect_timeout = kLivenessCheckTimeout;
   check.on_done = [this, upstream, interrupted_call, reason = std::move(reason),
                    checks_left](const HttpCallResult& r) {
-    // A killed process closes its connections before its listening port. The
-    // check may therefore have connected and then been interrupted, and is
+    // A killed process closes its connections before its listening port, so
+    // this check may still have connected to it. The check is therefore
     // repeated.
     if (!r.status.ok() && !r.never_sent && checks_left > 1) {
       AnswerInterruptedCall(upstream, interrupted_call, reason,
@@ -328,8 +330,8 @@
     HeaderList headers = ErrorHeaders(ErrorKind::kOutcomeUnknown, true);
     if (!r.status.ok() && r.never_sent) {
       Termination& termination = terminations_[upstream];
-      // The call was sent after the last observed termination, so a new
-      // termination interrupted it.
+      // A call that was sent after the last observed termination was
+      // interrupted by a new one, which gets a new id.
       if (interrupted_call.sent_at >= termination.observed_at) {
         termination = {clock_.Now(), absl::StrCat(absl::Hex(RandomSeed()))};
       }
@@ -345,10 +347,10 @@
 }
 
 // Forwards an order to the upstream. An order carries the fencing number of the
-// control leader that issued it. The agent rejects a number lower than the
-// highest one it has forwarded, even if the upstream checks numbers itself.
-// Otherwise an old leader that is partitioned and still issues orders could
-// undo a newer order.
+// control leader that issued it. The agent rejects an order whose number is
+// lower than the highest one it has forwarded, even if the upstream checks
+// numbers itself. Otherwise an old leader in a network partition could undo a
+// newer order.
 void Agent::ForwardOrder(const H2Request& req, const UpstreamSettings& u,
                          std::shared_ptr<H2Stream> out) {
   int64_t fencing = std::atoll(req.Header(kH2Fencing).c_str());
@@ -379,8 +381,8 @@
 }
 
 // Answers with the load of the upstream and whether this agent is draining. The
-// load is the engine's own report, which lags. Entries send no requests to a
-// draining agent.
+// load comes from the engine's own report, which lags behind the real load.
+// Entries send no requests to a draining agent.
 void Agent::SendLoadReport(const UpstreamSettings& u,
                            std::shared_ptr<H2Stream> out) {
   if (u.kind != "engine") {
--- a/src/agent.h
+++ b/src/agent.h
@@ -54,7 +54,7 @@
   void AnswerInterruptedCall(const std::string& upstream,
                              const ForwardedCall& interrupted_call,
                              std::string reason, int checks_left);
-  void CheckDrained();
+  void StopIfDrained();
   static void OnSignal(struct ev_loop* loop, ev_signal* w, int revents);
   static void OnDrainTimer(struct ev_loop* loop, ev_timer* w, int revents);
 
@@ -70,9 +70,9 @@
   // The last observed termination of an upstream process.
   struct Termination {
     TimePoint observed_at{};
-    std::string id;  // Random id that identifies the termination.
+    std::string id;  // Random id of this termination.
   };
-  // Terminations by upstream name.
+  // Last observed termination of each upstream, by upstream name.
   std::map<std::string, Termination> terminations_;
   std::map<std::string, int64_t> highest_fencing_;
   bool draining_ = false;
--- a/src/agent_link.cc
+++ b/src/agent_link.cc
@@ -7,8 +7,8 @@
   call_ = std::move(call);
   call_active_ = true;
   if (!agent_.usable()) {
-    // The kernel still accepts connections for a frozen process, so nothing is
-    // sent until the agent has answered a probe.
+    // The kernel accepts connections even for a frozen agent process. A request
+    // is therefore sent only after the agent has answered a probe.
     EndCall(CallEnd::kNotSent, "agent does not answer");
     return;
   }
--- a/src/agent_link.h
+++ b/src/agent_link.h
@@ -27,11 +27,12 @@
   bool idle() const override { return !call_active_; }
   bool open() const override { return false; }
   bool sent() const override { return sent_; }
-  // Has no effect: this process buffers what a slow caller has not read yet.
-  // Agents are few and close by, so flow control is not needed.
+  // Has no effect: this process buffers the part of an answer that a slow
+  // caller has not read yet. Agents are few and close by, so flow control
+  // towards them is not needed.
   void SetReadPaused(bool) override {}
   TimePoint idle_since() const override { return {}; }
-  Duration keep_for() const override { return {}; }
+  Duration max_idle_time() const override { return {}; }
 
  private:
   void OnStreamClose(const absl::Status& status, bool never_sent);
--- a/src/caller_server.cc
+++ b/src/caller_server.cc
@@ -14,26 +14,27 @@
 namespace {
 
 // Interval of the check for idle and slow callers, in seconds.
-constexpr double kSweepSeconds = 0.25;
+constexpr double kTimeoutCheckSeconds = 0.25;
 // Bytes that a caller may send ahead while its previous request is being
 // answered. A connection that exceeds this limit is closed.
 constexpr size_t kMaxUnparsedBytes = 1 << 20;
-// Minimum idle time before a connection may be evicted. Before that, its first
-// or next request may already be on its way.
+// Minimum time for which a connection must have been idle to be evicted. The
+// first or next request of a connection that was idle for less may already be
+// in transit.
 constexpr Millis kMinIdle(20);
 // Interval of eviction attempts while new callers wait, in seconds.
 constexpr double kEvictionSeconds = 0.025;
-// Inverse of the minimum share of evictable connections that one eviction
-// closes. Scanning all connections for each new caller would cost more than
-// serving the callers.
+// One eviction closes at least 1/kEvictOneIn of the evictable connections.
+// Scanning all connections for each new caller would cost more than serving the
+// callers.
 constexpr size_t kEvictOneIn = 8;
 // Descriptors reserved for links, listeners, logs and files.
 constexpr size_t kReservedDescriptors = 100;
 
 }  // namespace
 
-// One caller's connection. Reads a request, waits for its answer, then reads
-// the next one.
+// One caller's connection. It reads a request, waits until the request is
+// answered, then reads the next request.
 class CallerConnection : public std::enable_shared_from_this<CallerConnection> {
  public:
   CallerConnection(CallerServer* server, std::shared_ptr<TcpConnection> tcp)
@@ -70,7 +71,7 @@
     server_->connections_.erase(this);
     if (!ex) return;
     ex->connection_ = nullptr;
-    auto f = std::move(ex->on_gone_);
+    auto f = std::move(ex->on_disconnect_);
     ex->on_drained_ = nullptr;
     if (answering_ && f) f();
   }
@@ -96,7 +97,7 @@
     if (!unparsed_.empty()) ParseBuffered();
   }
 
-  // Closes the connection now, without the end of the answer.
+  // Closes the connection at once, before the end of the answer.
   void Abort() {
     auto self = shared_from_this();
     // An answer without a length ends with an orderly close. The connection is
@@ -142,12 +143,12 @@
   void DetachExchange() {
     if (!exchange_) return;
     exchange_->connection_ = nullptr;
-    exchange_->on_gone_ = nullptr;
+    exchange_->on_disconnect_ = nullptr;
     exchange_->on_drained_ = nullptr;
     exchange_.reset();
   }
 
-  // Keeps the socket open until its buffer is written.
+  // Keeps the socket open until all buffered bytes are written to it.
   void KeepSocketUntilFlushed() {
     auto keep = tcp_;
     TcpEvents e;
@@ -186,7 +187,8 @@
       return;
     }
     if (!request_done_) return;
-    // Two statements of a body's length or of the host allow request smuggling.
+    // A request that states the length of its body or its host twice allows
+    // request smuggling.
     if (exchange_->head.CountHeaders("Content-Length") > 1 ||
         exchange_->head.CountHeaders("Host") > 1) {
       RejectMalformed(400);
@@ -236,7 +238,7 @@
 
 void CallerExchange::Respond(int status, const HeaderList& headers,
                              absl::string_view body) {
-  if (gone() || started_) return;
+  if (disconnected() || started_) return;
   if (connection_->server_closing()) connection_->CloseAfterThisAnswer();
   std::string out =
       absl::StrCat("HTTP/1.1 ", status, " ", ReasonPhrase(status), "\r\n");
@@ -256,16 +258,16 @@
 
 void CallerExchange::StartAnswer(int status, absl::string_view reason,
                                  const HeaderList& headers) {
-  if (gone() || started_) return;
+  if (disconnected() || started_) return;
   if (!chunked_) connection_->CloseAfterThisAnswer();
   SendHead(status, reason, headers,
            chunked_ ? "Transfer-Encoding: chunked\r\n" : "");
 }
 
-void CallerExchange::EndWithClose() { chunked_ = false; }
+void CallerExchange::EndAnswerWithClose() { chunked_ = false; }
 
 void CallerExchange::Write(absl::string_view data) {
-  if (gone() || data.empty() || bodyless_) return;
+  if (disconnected() || data.empty() || bodyless_) return;
   if (!chunked_) {
     connection_->Send(data);
     return;
@@ -273,19 +275,19 @@
   connection_->Send(absl::StrCat(absl::Hex(data.size()), "\r\n", data, "\r\n"));
 }
 
-void CallerExchange::Finish() {
-  if (gone()) return;
+void CallerExchange::FinishAnswer() {
+  if (disconnected()) return;
   if (!bodyless_ && chunked_) connection_->Send("0\r\n\r\n");
   connection_->OnAnswerDone();
 }
 
 void CallerExchange::Abort() {
-  if (gone()) return;
+  if (disconnected()) return;
   connection_->Abort();
 }
 
 size_t CallerExchange::unsent() const {
-  return gone() ? 0 : connection_->unsent();
+  return disconnected() ? 0 : connection_->unsent();
 }
 
 size_t MaxCallerConnections(size_t descriptors) {
@@ -309,18 +311,19 @@
         auto c = std::make_shared<CallerConnection>(this, std::move(tcp));
         connections_[c.get()] = c;
         c->Start();
-        EvictIdleForNewcomers();
+        EvictIdleConnections();
       }) {
   InitTimer(&eviction_timer_, OnEvictionTimer, kEvictionSeconds,
             kEvictionSeconds);
   eviction_timer_.data = this;
-  InitTimer(&sweep_timer_, OnSweep, kSweepSeconds, kSweepSeconds);
-  sweep_timer_.data = this;
-  ev_timer_start(loop_, &sweep_timer_);
+  InitTimer(&timeout_check_timer_, OnTimeoutCheck, kTimeoutCheckSeconds,
+            kTimeoutCheckSeconds);
+  timeout_check_timer_.data = this;
+  ev_timer_start(loop_, &timeout_check_timer_);
 }
 
 CallerServer::~CallerServer() {
-  ev_timer_stop(loop_, &sweep_timer_);
+  ev_timer_stop(loop_, &timeout_check_timer_);
   ev_timer_stop(loop_, &eviction_timer_);
 }
 
@@ -331,10 +334,10 @@
 void CallerServer::StopAccepting() {
   closing_after_answers_ = true;
   listener_.Stop();
-  CloseIdle();
+  CloseIdleConnections();
 }
 
-void CallerServer::CloseIdle() {
+void CallerServer::CloseIdleConnections() {
   std::vector<std::shared_ptr<CallerConnection>> all;
   for (auto& [p, c] : connections_) all.push_back(c);
   for (auto& c : all) c->CloseIfIdle();
@@ -353,7 +356,7 @@
   return out;
 }
 
-void CallerServer::EvictIdleForNewcomers() {
+void CallerServer::EvictIdleConnections() {
   bool accepting = connections_.size() < max_connections_;
   if (!accepting) {
     std::vector<std::shared_ptr<CallerConnection>> idle =
@@ -384,16 +387,16 @@
 }
 
 void CallerServer::OnEvictionTimer(struct ev_loop*, ev_timer* w, int) {
-  static_cast<CallerServer*>(w->data)->EvictIdleForNewcomers();
+  static_cast<CallerServer*>(w->data)->EvictIdleConnections();
 }
 
-int CallerServer::busy() const {
+int CallerServer::requests_in_progress() const {
   int n = 0;
   for (const auto& [p, c] : connections_) n += c->busy();
   return n;
 }
 
-void CallerServer::OnSweep(struct ev_loop*, ev_timer* w, int) {
+void CallerServer::OnTimeoutCheck(struct ev_loop*, ev_timer* w, int) {
   auto* self = static_cast<CallerServer*>(w->data);
   TimePoint now = self->clock_.Now();
   std::vector<std::shared_ptr<CallerConnection>> all;
--- a/src/caller_server.h
+++ b/src/caller_server.h
@@ -1,6 +1,6 @@
 // HTTP/1.1 server for callers and operators, on sockets that this process owns.
-// A caller that disconnects is noticed at once, even while its answer is being
-// prepared, and an answer gets no headers beyond its own and the framing.
+// The server notices at once that a caller has disconnected, even while the
+// answer is being prepared. It adds only framing headers to an answer.
 #ifndef MEDLARWALK_CALLER_SERVER_H_
 #define MEDLARWALK_CALLER_SERVER_H_
 
@@ -22,9 +22,9 @@
 
 class CallerConnection;
 
-// One request and the methods to answer it. Call either Respond, or
-// StartAnswer, any number of Write and then Finish or Abort. Calls after the
-// caller has disconnected do nothing.
+// One request and the methods to answer it. Call either Respond, or first
+// StartAnswer, then Write any number of times, then FinishAnswer or Abort.
+// Calls after the caller has disconnected do nothing.
 class CallerExchange {
  public:
   MessageHead head;
@@ -33,25 +33,27 @@
 
   // Sends a complete answer.
   void Respond(int status, const HeaderList& headers, absl::string_view body);
-  // Marks the end of the answer by closing the connection instead of using
-  // chunks. Must be called before StartAnswer. Applied automatically for a
-  // caller that cannot read chunks.
-  void EndWithClose();
+  // Sends the answer without chunks and marks its end by closing the
+  // connection. Must be called before StartAnswer. Not needed for a caller that
+  // cannot read chunks: it gets such an answer anyway.
+  void EndAnswerWithClose();
   // Begins an answer of unknown length, which is sent in chunks.
   void StartAnswer(int status, absl::string_view reason,
                    const HeaderList& headers);
   void Write(absl::string_view data);
-  void Finish();
+  void FinishAnswer();
   // Closes the connection without the end of the answer, so that an interrupted
   // answer cannot look complete.
   void Abort();
-  bool gone() const { return connection_ == nullptr; }
+  bool disconnected() const { return connection_ == nullptr; }
   bool started() const { return started_; }
   // Returns the number of bytes not yet written to the caller's socket.
   size_t unsent() const;
   // Sets `f`, which is called once if the caller disconnects before the end of
   // the answer.
-  void set_on_gone(std::function<void()> f) { on_gone_ = std::move(f); }
+  void set_on_disconnect(std::function<void()> f) {
+    on_disconnect_ = std::move(f);
+  }
   // Sets `f`, which is called when unsent() has dropped to 0.
   void set_on_drained(std::function<void()> f) { on_drained_ = std::move(f); }
 
@@ -64,13 +66,14 @@
   bool started_ = false;
   bool bodyless_ = false;  // The request method is HEAD.
   bool chunked_ = true;    // If false, closing the connection ends the answer.
-  std::function<void()> on_gone_;
+  std::function<void()> on_disconnect_;
   std::function<void()> on_drained_;
 };
 
 // Returns how many caller connections a process may hold if it may have
-// `descriptors` open. Each caller may need one more connection, to an upstream,
-// and links to other medlarwalk processes must always be able to reconnect.
+// `descriptors` open. Each caller may need a second descriptor, for a
+// connection to an upstream. Links to other medlarwalk processes must always
+// find a free descriptor to reconnect.
 size_t MaxCallerConnections(size_t descriptors);
 
 // Returns the number of descriptors that the host lets this process open.
@@ -103,18 +106,18 @@
   // ones.
   void StopAccepting();
   // Closes every connection without a request in progress.
-  void CloseIdle();
+  void CloseIdleConnections();
   // Returns the number of requests being read or answered.
-  int busy() const;
+  int requests_in_progress() const;
   size_t connections() const { return connections_.size(); }
 
  private:
   friend class CallerConnection;
-  static void OnSweep(struct ev_loop* loop, ev_timer* w, int revents);
+  static void OnTimeoutCheck(struct ev_loop* loop, ev_timer* w, int revents);
   static void OnEvictionTimer(struct ev_loop* loop, ev_timer* w, int revents);
   // Closes idle connections if the maximum number is reached, and pauses
   // accepting while none can be closed.
-  void EvictIdleForNewcomers();
+  void EvictIdleConnections();
   // Returns the idle connections that may be closed to accept new callers, the
   // longest idle first.
   std::vector<std::shared_ptr<CallerConnection>> EvictableConnections() const;
@@ -126,8 +129,8 @@
   TcpListener listener_;
   bool closing_after_answers_ = false;
   size_t max_connections_ = SIZE_MAX;
-  ev_timer sweep_timer_{};
-  ev_timer eviction_timer_{};  // Runs while new callers wait.
+  ev_timer timeout_check_timer_{};
+  ev_timer eviction_timer_{};  // Runs while new callers wait for a connection.
   std::unordered_map<CallerConnection*, std::shared_ptr<CallerConnection>>
       connections_;
 };
--- a/src/crash_watch.cc
+++ b/src/crash_watch.cc
@@ -7,11 +7,12 @@
 namespace medlarwalk {
 namespace {
 
-// Connect timeout of a probe. A running host answers a connection attempt
+// Connect timeout of a probe. A running host accepts or refuses a connection
 // within a round trip.
 constexpr auto kProbeTimeout = Millis(250);
-// Time after which an unconfirmed suspicion is dropped. An upstream list that
-// lags still shows a termination within seconds.
+// Time after which an upstream whose termination is not confirmed is no longer
+// suspected. Even an upstream list that lags shows a termination within
+// seconds.
 constexpr auto kSuspicionTimeout = std::chrono::seconds(10);
 
 }  // namespace
@@ -50,8 +51,9 @@
   for (auto it = suspects_.begin(); it != suspects_.end();) {
     Suspect& s = it->second;
     const UpstreamState* u = pool_.Find(it->first);
-    // The probe starts at the second tick. By then, the pool has noticed
-    // whether its idle connections closed together with the interrupted one.
+    // The probe of an upstream starts at the second tick. By then, the pool
+    // knows whether its idle connections to the upstream closed together with
+    // the interrupted one.
     if (u && !s.probe && s.seen_by_tick) {
       s.probe = pool_.OpenProbe(*u, kProbeTimeout);
     }
--- a/src/crash_watch.h
+++ b/src/crash_watch.h
@@ -1,8 +1,7 @@
-// Distinguishes the termination of an upstream from the loss of one connection;
-// both close the connection in the middle of a call. If no connection to the
-// upstream is left, a new one is opened as a probe. If the probe is refused,
-// the upstream has terminated, and each of the interrupted requests may be the
-// cause.
+// Finds out whether an upstream has terminated when a connection to it closes
+// in the middle of a call. If no connection to the upstream is left, a new one
+// is opened as a probe. If the upstream's host refuses the probe, the upstream
+// has terminated, and each of the interrupted requests may be the cause.
 #ifndef MEDLARWALK_CRASH_WATCH_H_
 #define MEDLARWALK_CRASH_WATCH_H_
 
@@ -50,7 +49,7 @@
  private:
   struct Suspect {
     std::vector<InterruptedCall> calls;
-    bool seen_by_tick = false;  // An earlier Tick has seen this suspect.
+    bool seen_by_tick = false;  // Tick was called since the suspicion arose.
     // Link whose state shows whether the upstream still listens; null until
     // opened.
     std::shared_ptr<UpstreamLink> probe;
--- a/src/dialect.h
+++ b/src/dialect.h
@@ -21,10 +21,12 @@
 
 namespace medlarwalk {
 
-// Facts that a caller states about its request.
+// What a caller's request says about itself: its route, time limit, client
+// account and lengths.
 struct RequestFacts {
-  std::string id;  // Id of the caller's attempt; the upstream echoes it.
-  std::optional<Duration> time_limit;  // How long the caller waits.
+  std::string id;  // Id of this attempt of the caller; the upstream repeats it.
+  // Time for which the caller waits for the answer.
+  std::optional<Duration> time_limit;
   std::string key;   // Key of the client account; may be empty.
   std::string host;  // Host and path select the route.
   std::string path;
@@ -41,14 +43,17 @@
   uint64_t pinned = 0;
 };
 
-// Facts that are added to a forwarded request.
+// Values that the gateway adds to a request that it forwards, such as the
+// remaining time, client account and priority.
 struct ForwardFacts {
   std::string id;  // Id of the request.
-  // Id of the intended upstream; any other must reject the request.
+  // Id of the upstream that the request is meant for. Another upstream that
+  // receives the request at the same address must reject it.
   std::string upstream_id;
   Duration time_limit{};  // Remaining time for which the caller waits.
   std::string account;    // Client account; empty if none.
-  std::optional<int> engine_priority;  // 0 is the most urgent.
+  // Priority of the request in the engine's queue; 0 is the most urgent.
+  std::optional<int> engine_priority;
   // Id of the last event that the caller has; the answer resumes after it.
   std::optional<int64_t> last_event;
   // Address of an engine that caches leading parts of the prompt; its ip is
@@ -57,13 +62,15 @@
   Endpoint copy_from;
 };
 
-// Facts that an upstream's answer states.
+// What an upstream's answer says about the request and the upstream, such as a
+// rejection, the load and rate limits.
 struct AnswerFacts {
   // Id of the request that is answered; nullopt if the link itself matches
   // answers to requests.
   std::optional<std::string> echoed_id;
   bool not_run = false;  // The upstream states that it did not run the request.
-  bool other_upstream = false;  // Another upstream now has the address.
+  bool other_upstream = false;  // The answer comes from another upstream, which
+                                // now has the address.
   // Id of the upstream's termination that interrupted the answer. Empty if no
   // termination was observed.
   std::string termination_id;
@@ -90,7 +97,8 @@
   std::string body;
 };
 
-// The functions of one wire format. All are pure and thread safe.
+// The functions that parse and write the messages of one wire format. All are
+// pure and thread safe.
 struct Dialect {
   // Parses a request. Errors: a kind from errors.h; any other error is treated
   // as a bad request.
--- a/src/entry.cc
+++ b/src/entry.cc
@@ -14,21 +14,23 @@
 using nlohmann::json;
 
 constexpr double kTickSeconds = 0.01;
-// Interval of load polls. Engines' load reports lag by more than this, so more
-// frequent polls would not help.
+// Interval at which the entry asks agents for the load of their upstreams.
+// Engines' load reports lag by more than this, so more frequent requests would
+// not help.
 constexpr double kLoadPollSeconds = 0.5;
 // Retries allowed per window in addition to the budget's share of requests, so
 // that an entry with little traffic can retry.
 constexpr double kBaseRetriesPerWindow = 10;
-// Minimum number of engines of a service for dividing them by shape of work.
-// Deployments of this API have too few engines per model for it.
+// Minimum number of engines of a service for keeping some of them for one kind
+// of work (prefill or decode). Deployments of this API have fewer engines per
+// model.
 constexpr int kMinEnginesToSplit = 6;
-// An engine is a straggler when its event gap is this many times the gap of the
-// median engine.
+// An engine is a straggler if the gap between the events of its streams is this
+// many times the gap of the median engine.
 constexpr double kStragglerFactor = 2.0;
-// Share of the requests in flight to one upstream that is reserved for the top
-// tier (at least one request). Without it, requests of the top tier may find
-// all slots taken for seconds.
+// Share of the slots for requests in flight to one upstream that is reserved
+// for the top tier (at least one slot). Without this reserve, requests of the
+// top tier may find all slots taken for seconds.
 constexpr double kReservedTopTierShare = 0.05;
 constexpr double kNoLimit = 1e6;
 
@@ -43,8 +45,8 @@
   o.retry.slack = kBaseRetriesPerWindow / kUsableAllowanceShare;
   o.connection_share = 1.0;
   o.placement.min_engines_to_split = kMinEnginesToSplit;
-  // No additional limit: the settings already limit the requests that an entry
-  // sends to an engine.
+  // No additional limit on long generations, because the settings already limit
+  // the requests that an entry sends to an engine.
   o.placement.own_generations_share = 0;
   o.placement.max_plain_load = 1.0;
   o.placement.straggler_factor = kStragglerFactor;
@@ -87,7 +89,7 @@
           }(),
           NativeApiDialect(settings_, host), metrics_, StableHash(host)),
       caller_server_(loop, clock, [this](std::shared_ptr<CallerExchange> ex) {
-        Handle(std::move(ex));
+        HandleRequest(std::move(ex));
       }) {
   auto routing =
       std::make_shared<const RoutingConfig>(RoutingFromSettings(*settings_));
@@ -138,7 +140,7 @@
   LogEvent("drain_started", {{"open", gateway_.open_requests()}});
 }
 
-void Entry::Handle(std::shared_ptr<CallerExchange> ex) {
+void Entry::HandleRequest(std::shared_ptr<CallerExchange> ex) {
   const std::string& path = ex->head.target;
   if (path == "/metrics") {
     ex->Respond(200, {{"Content-Type", "text/plain; version=0.0.4"}},
@@ -147,7 +149,7 @@
     ex->Respond(draining_ ? 503 : 200, {{"Content-Type", "text/plain"}},
                 draining_ ? "draining" : "ok");
   } else {
-    gateway_.Handle(std::move(ex));
+    gateway_.HandleRequest(std::move(ex));
   }
 }
 
@@ -163,8 +165,8 @@
   return *c;
 }
 
-// Requests from each agent the load of its upstream, which lags, and whether
-// the agent is draining.
+// Asks each agent for the load of its upstream and whether the agent is
+// draining. The reported load lags behind the real one.
 void Entry::PollLoad() {
   for (const UpstreamInfo& u : upstreams_) {
     H2Call call;
@@ -190,7 +192,8 @@
     LogWarn("bad_load_report", {{"upstream", upstream}});
     return;
   }
-  gateway_.OnLoadReport(upstream, j.value("running", 0), j.value("waiting", 0));
+  gateway_.RecordPolledLoad(upstream, j.value("running", 0),
+                            j.value("waiting", 0));
   bool draining = j.value("leaving", false);
   for (UpstreamInfo& u : upstreams_) {
     if (u.id != upstream || u.draining == draining) continue;
@@ -205,7 +208,7 @@
   }
   gateway_.Tick();
   if (draining_ && gateway_.open_requests() == 0 &&
-      caller_server_.busy() == 0) {
+      caller_server_.requests_in_progress() == 0) {
     LogEvent("stopped", {});
     ev_break(loop_, EVBREAK_ALL);
   }
--- a/src/entry.h
+++ b/src/entry.h
@@ -41,7 +41,7 @@
   void Drain();
 
  private:
-  void Handle(std::shared_ptr<CallerExchange> ex);
+  void HandleRequest(std::shared_ptr<CallerExchange> ex);
   H2Client& AgentClientFor(const std::string& upstream);
   void PollLoad();
   void ApplyLoadReport(const std::string& upstream, const std::string& report);
@@ -56,7 +56,7 @@
   const HostSettings* host_;
   EntryPolicyKind policy_;
   Metrics metrics_;
-  // Clients by host name of the agent.
+  // HTTP/2 client for each agent, by the agent's host name.
   std::map<std::string, std::unique_ptr<H2Client>> agent_clients_;
   std::vector<UpstreamInfo> upstreams_;
   Gateway gateway_;
--- a/src/fake_engine.cc
+++ b/src/fake_engine.cc
@@ -60,9 +60,9 @@
   } else if (req.method == "POST" && req.path == "/admin/order") {
     HandleOrder(req, std::move(ex));
   } else if (req.method == "POST" && req.path == "/admin/fault") {
-    HandleFault(req, std::move(ex));
+    HandleFaultInjection(req, std::move(ex));
   } else if (req.path == "/load") {
-    HandleLoad(std::move(ex));
+    HandleLoadQuery(std::move(ex));
   } else if (req.path == "/cache_events") {
     HandleCacheEvents(req, std::move(ex));
   } else if (req.path == "/stats") {
@@ -112,16 +112,18 @@
 bool FakeEngine::LookUpOrCachePrefix(uint64_t prefix) {
   auto it = cached_prefixes_.find(prefix);
   if (it != cached_prefixes_.end()) {
-    lru_.splice(lru_.begin(), lru_, it->second);
+    recent_prefixes_.splice(recent_prefixes_.begin(), recent_prefixes_,
+                            it->second);
     ++cache_hits_;
     return true;
   }
-  lru_.push_front(prefix);
-  cached_prefixes_[prefix] = lru_.begin();
+  recent_prefixes_.push_front(prefix);
+  cached_prefixes_[prefix] = recent_prefixes_.begin();
   RecordCacheEvent("stored", prefix);
-  if (static_cast<int>(lru_.size()) > options_.prefix_cache_entries) {
-    uint64_t evicted = lru_.back();
-    lru_.pop_back();
+  if (static_cast<int>(recent_prefixes_.size()) >
+      options_.prefix_cache_entries) {
+    uint64_t evicted = recent_prefixes_.back();
+    recent_prefixes_.pop_back();
     cached_prefixes_.erase(evicted);
     RecordCacheEvent("evicted", evicted);
   }
@@ -134,9 +136,9 @@
   uint64_t seq = next_event_seq_++;
   std::uniform_real_distribution<double> u(0, 1);
   if (u(rng_) < options_.cache_event_drop) return;
-  events_.push_back(
+  cache_events_.push_back(
       {seq, clock_.Now() + options_.cache_event_delay, kind, prefix});
-  if (events_.size() > kMaxCacheEvents) events_.pop_front();
+  if (cache_events_.size() > kMaxCacheEvents) cache_events_.pop_front();
 }
 
 void FakeEngine::ScheduleDecodeStep() {
@@ -198,7 +200,7 @@
     } else {
       r.answer_text += token;
       if (truncate) {
-        // Simulates a crash before the answer is complete.
+        // Sends an error instead of the complete answer, to simulate a crash.
         r.exchange->Respond(500, JsonHeaders(),
                             R"({"error":"engine crashed"})");
       } else if (last) {
@@ -222,9 +224,9 @@
   if (!running_.empty() || !waiting_.empty()) ScheduleDecodeStep();
 }
 
-void FakeEngine::HandleLoad(std::shared_ptr<HttpExchange> ex) {
-  // The oldest sample kept is about report_lag old. Its load is the one
-  // reported.
+void FakeEngine::HandleLoadQuery(std::shared_ptr<HttpExchange> ex) {
+  // Reports the load of the oldest sample in load_history_, which is about
+  // report_lag old.
   json out = {{"running", 0}, {"waiting", 0}};
   if (!load_history_.empty()) {
     out["running"] = load_history_.front().running;
@@ -240,7 +242,7 @@
   if (!after_header.empty()) after = std::stoull(after_header);
   TimePoint now = clock_.Now();
   json list = json::array();
-  for (const auto& e : events_) {
+  for (const auto& e : cache_events_) {
     if (e.seq > after && e.visible_at <= now) {
       list.push_back({{"seq", e.seq}, {"kind", e.kind}, {"prefix", e.prefix}});
     }
@@ -270,8 +272,8 @@
   ex->Respond(200, JsonHeaders(), R"({"applied":true})");
 }
 
-void FakeEngine::HandleFault(const HttpRequest& req,
-                             std::shared_ptr<HttpExchange> ex) {
+void FakeEngine::HandleFaultInjection(const HttpRequest& req,
+                                      std::shared_ptr<HttpExchange> ex) {
   json body = json::parse(req.body, nullptr, false);
   if (body.is_discarded()) {
     ex->Respond(400, JsonHeaders(), R"({"error":"bad fault"})");
--- a/src/fake_engine.h
+++ b/src/fake_engine.h
@@ -29,7 +29,7 @@
   std::string address = "127.0.0.1";
   int port = 0;
   Millis step_time{10};  // Time of a decode step with an empty batch.
-  // Added to the step time per request in the batch.
+  // Time that each request in the batch adds to a decode step, in microseconds.
   double extra_step_us_per_request = 300;
   int max_batch_size = 64;  // Maximum number of requests decoded together.
   // Prefill time per character not in the cache.
@@ -57,8 +57,9 @@
   void HandleRequest(const HttpRequest& req, std::shared_ptr<HttpExchange> ex);
   void HandleChat(const HttpRequest& req, std::shared_ptr<HttpExchange> ex);
   void HandleOrder(const HttpRequest& req, std::shared_ptr<HttpExchange> ex);
-  void HandleFault(const HttpRequest& req, std::shared_ptr<HttpExchange> ex);
-  void HandleLoad(std::shared_ptr<HttpExchange> ex);
+  void HandleFaultInjection(const HttpRequest& req,
+                            std::shared_ptr<HttpExchange> ex);
+  void HandleLoadQuery(std::shared_ptr<HttpExchange> ex);
   void HandleCacheEvents(const HttpRequest& req,
                          std::shared_ptr<HttpExchange> ex);
   void HandleStats(std::shared_ptr<HttpExchange> ex);
@@ -77,7 +78,7 @@
   std::list<std::unique_ptr<ChatRequest>> running_;
   std::deque<std::unique_ptr<ChatRequest>> waiting_;
   // Prefix cache: the most recently used prefix is at the front.
-  std::list<uint64_t> lru_;
+  std::list<uint64_t> recent_prefixes_;
   std::unordered_map<uint64_t, std::list<uint64_t>::iterator> cached_prefixes_;
   // The load at a past time, kept for lagged load reports.
   struct LoadSample {
@@ -94,14 +95,14 @@
     std::string kind;
     uint64_t prefix;
   };
-  std::deque<CacheEvent> events_;
+  std::deque<CacheEvent> cache_events_;
   uint64_t next_event_seq_ = 1;
   // Injected faults.
   int truncate_after_tokens_ = 0;
   double straggle_factor_ = 1.0;
   // Highest fencing number of an applied order.
   int64_t highest_fencing_ = 0;
-  // Counters for /stats.
+  // Counters reported at /stats.
   int64_t orders_applied_ = 0;
   int64_t stale_orders_applied_ = 0;
   int64_t requests_ = 0;
--- a/src/fake_service.cc
+++ b/src/fake_service.cc
@@ -48,7 +48,8 @@
     ex->Respond(400, headers, R"({"error":"bad request"})");
     return;
   }
-  // The request is executed on receipt: from here on a resend would bill twice.
+  // The service executes a billing call on receipt. If the caller resends it
+  // from here on, the ticket is billed twice.
   std::string ticket = body["ticket"].get<std::string>();
   ++executions_by_ticket_[ticket];
   auto p = std::make_unique<PendingCall>(
--- a/src/gateway.cc
+++ b/src/gateway.cc
@@ -19,7 +19,7 @@
 // one.
 constexpr auto kMaxConfigWait = Millis(900);
 // Time after a prefill for which the engine is assumed to cache the prompt
-// part, and maximum number of prompt parts remembered.
+// part, and maximum number of prompt parts in the prefix cache index.
 constexpr auto kPrefixHolderTrust = std::chrono::seconds(12);
 constexpr size_t kMaxRememberedParts = 4096;
 
@@ -56,15 +56,15 @@
 
 void Gateway::SetConfig(std::shared_ptr<const RoutingConfig> config) {
   config_ = std::move(config);
-  ResumeAwaitingConfig();
+  ResumeRequestsAwaitingConfig();
 }
 
 void Gateway::RecordConfigCurrent(TimePoint as_of) {
   config_current_at_ = std::max(config_current_at_, as_of);
-  if (config_) ResumeAwaitingConfig();
+  if (config_) ResumeRequestsAwaitingConfig();
 }
 
-void Gateway::ResumeAwaitingConfig() {
+void Gateway::ResumeRequestsAwaitingConfig() {
   std::vector<uint64_t> awaiting = std::move(awaiting_config_);
   awaiting_config_.clear();
   for (uint64_t seq : awaiting) {
@@ -81,11 +81,11 @@
   crash_watch_.OnListUpdate();
   ApplyLimitsToUpstreams();
   decode_paces_changed_ = true;
-  DispatchWaiting();
+  DispatchWaitingRequests();
 }
 
-void Gateway::OnLoadReport(const std::string& upstream, int running,
-                           int waiting) {
+void Gateway::RecordPolledLoad(const std::string& upstream, int running,
+                               int waiting) {
   UpstreamState* u = pool_.Find(upstream);
   if (u) RecordLoadReport(*u, running, waiting, clock_.Now());
 }
@@ -123,20 +123,20 @@
   return it->second.get();
 }
 
-void Gateway::Handle(std::shared_ptr<CallerExchange> ex) {
+void Gateway::HandleRequest(std::shared_ptr<CallerExchange> ex) {
   auto owned = std::make_unique<Request>();
   Request& r = *owned;
   r.seq = next_seq_++;
   r.exchange = std::move(ex);
-  // Deadline of a request for which Admit sets none.
+  // Deadline of a request that is rejected before AdmitRequest has set one.
   r.deadline = r.exchange->arrived + kMaxConfigWait;
   r.deadline_entry = deadlines_.emplace(r.deadline, r.seq);
   requests_[r.seq] = std::move(owned);
   uint64_t seq = r.seq;
-  r.exchange->set_on_gone([this, seq] { OnCallerDisconnect(seq); });
+  r.exchange->set_on_disconnect([this, seq] { OnCallerDisconnect(seq); });
   if (!config_) {
-    // A process that has just started receives a configuration within a moment.
-    // For the caller, waiting for it is cheaper than a retry.
+    // A process that has just started soon receives its first configuration.
+    // For the caller, waiting for the configuration is cheaper than a retry.
     awaiting_config_.push_back(r.seq);
     return;
   }
@@ -144,7 +144,7 @@
 }
 
 void Gateway::AdmitAndDispatch(Request& r) {
-  absl::Status s = Admit(r);
+  absl::Status s = AdmitRequest(r);
   if (!s.ok() && ConfigMayBeOutdated(s)) {
     awaiting_config_.push_back(r.seq);
     return;
@@ -170,7 +170,7 @@
          clock_.Now() - config_current_at_ > options_.config_trust;
 }
 
-absl::Status Gateway::Admit(Request& r) {
+absl::Status Gateway::AdmitRequest(Request& r) {
   absl::StatusOr<RequestFacts> facts =
       dialect_.read_request(r.exchange->head, r.exchange->body);
   if (!facts.ok()) {
@@ -258,7 +258,7 @@
   input.affinity = r.affinity;
   input.shared_tokens = r.shared_tokens;
   input.data_centre = options_.data_centre;
-  input.tried_ids = r.tried;
+  input.tried_ids = r.tried_upstreams;
   input.shape = r.shape;
   input.pinned = r.facts.pinned;
   input.max_load = r.service->engine ? options_.placement.max_engine_load
@@ -267,8 +267,8 @@
 }
 
 bool Gateway::TrySend(Request& r) {
-  // Tier admission holds back first attempts only. A request that has already
-  // been sent continues even if more urgent requests wait.
+  // Tier admission holds back only requests that were not sent yet. A request
+  // that was sent before may be retried even if more urgent requests wait.
   if (r.sends == 0 &&
       !TierAdmissionFor(r.service->name).Admits(r.tier, clock_.Now())) {
     return false;
@@ -322,11 +322,11 @@
   if (++r.sends == 1)
     TierAdmissionFor(r.service->name).RecordDispatch(r.tier, now);
   r.upstream = u.info.id;
-  r.tried.push_back(u.info.id);
+  r.tried_upstreams.push_back(u.info.id);
   r.sent_at = r.progress_at = now;
   r.have_head = false;
   r.relaying = false;
-  r.held_body.clear();
+  r.buffered_body.clear();
   r.splitter.Reset();
   if (u.in_flight == 0) u.last_activity_at = now;
   ++u.in_flight;
@@ -377,11 +377,11 @@
 }
 
 // Returns the address of the engine that most likely caches leading parts of
-// the prompt that `to` may lack, or an empty endpoint. First choice is an
-// engine at which this process saw a prefill of all shared parts. Second is
-// another preferred engine of these parts, because every entry process sends
-// requests with them there. Third is an engine at which this process saw a
-// prefill of the first parts.
+// the prompt that `to` may lack, or an empty endpoint. The first choice is an
+// engine at which this process saw a prefill of all shared parts. The second is
+// another engine preferred for these parts, because all entry processes send
+// requests with these parts to it. The third is an engine at which this process
+// saw a prefill of some of the leading parts.
 Endpoint Gateway::FindCopySource(const Request& r, const UpstreamState& to,
                                  TimePoint now) {
   if (r.facts.parts.size() < 2) return {};
@@ -454,7 +454,7 @@
        {"pause_at", r.longest_gap_upstream}});
   metrics_.CountFinished(MetricLabel(r), outcome);
   metrics_.ObserveDuration(MetricLabel(r), ToSeconds(elapsed));
-  r.exchange->set_on_gone(nullptr);
+  r.exchange->set_on_disconnect(nullptr);
   r.exchange->set_on_drained(nullptr);
   deadlines_.erase(r.deadline_entry);
   requests_.erase(r.seq);
@@ -464,7 +464,7 @@
   auto it = requests_.find(seq);
   if (it == requests_.end()) return;
   FinishRequest(*it->second, "caller_left", "");
-  DispatchWaiting();
+  DispatchWaitingRequests();
 }
 
 }  // namespace medlarwalk
--- a/src/gateway.h
+++ b/src/gateway.h
@@ -1,8 +1,9 @@
 // Request handling in an entry process. A request is matched to its route and
 // client account, waits for a slot, is sent to an upstream, is retried at
 // another one where that is allowed, and gets exactly one final answer. The
-// modules placement and waiting_queue make the decisions; the gateway and
-// upstream_pool do the input and output.
+// modules placement and waiting_queue decide where and when a request is sent;
+// the gateway and upstream_pool exchange the messages with callers and
+// upstreams.
 #ifndef MEDLARWALK_GATEWAY_H_
 #define MEDLARWALK_GATEWAY_H_
 
@@ -44,8 +45,9 @@
   PrefillLimiterPolicy prefill_limiter;
   TierAdmissionPolicy tier_admission;
   // Share of an upstream's connections that the known entry processes use
-  // together. The remainder is for entry processes that have just started or
-  // that are no longer counted but still running.
+  // together. The rest of the connections is for entry processes that control
+  // does not count: they have just started, or they are no longer counted but
+  // still running.
   double connection_share = 0.8;
   // Time for which the configuration counts as current after control last
   // confirmed it (RecordConfigCurrent). Within this time, a request that the
@@ -55,8 +57,9 @@
   // Called when a request of `account` has begun to run at an upstream, as far
   // as this shows in the answer. May be empty.
   std::function<void(const std::string& account)> on_request_run;
-  // Returns the time that all processes share, counted from an arbitrary epoch.
-  // If empty, the local clock is used.
+  // Returns the group's time at the local time `now`, counted from an arbitrary
+  // epoch that is the same for all processes. If empty, the local clock is
+  // used.
   std::function<Millis(TimePoint now)> group_time;
   // Opens links to upstreams. If empty, HTTP/1.1 connections are used.
   LinkOpener open_link;
@@ -71,13 +74,13 @@
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
 
-  // Takes over a request and gives it exactly one final answer.
-  void Handle(std::shared_ptr<CallerExchange> ex);
+  // Handles a caller's request and gives it exactly one final answer.
+  void HandleRequest(std::shared_ptr<CallerExchange> ex);
   // Installs a newer configuration. Requests in flight keep the configuration
   // they were admitted with.
   void SetConfig(std::shared_ptr<const RoutingConfig> config);
-  // Records that the configuration of this process was the newest one at
-  // `as_of`.
+  // Records that control had no newer configuration than this process at the
+  // time `as_of`.
   void RecordConfigCurrent(TimePoint as_of);
   void SetUpstreams(absl::Span<const UpstreamInfo> upstreams);
   // Sets the number of entry processes that share the upstreams and the retry
@@ -86,12 +89,13 @@
   // Returns the quarantine of crash-inducing requests, which are not sent to
   // any upstream.
   Quarantine& quarantine() { return quarantine_; }
-  // Returns the known rate limits that upstreams have announced.
+  // Returns the rate limits that upstreams have announced, as far as this
+  // process knows them.
   const RateLimitTable& limits() const { return limits_; }
   // Merges rate limits published by control.
   void MergeLimits(absl::Span<const LimitRecord> records);
-  // Records a load report that did not come with an answer.
-  void OnLoadReport(const std::string& upstream, int running, int waiting);
+  // Records an upstream's load that was reported separately from its answers.
+  void RecordPolledLoad(const std::string& upstream, int running, int waiting);
   // Records whether the upstream is reachable, according to a source other than
   // its answers.
   void SetReachable(const std::string& upstream, bool reachable);
@@ -115,9 +119,9 @@
   // Admits and dispatches a request, or rejects it. The request has just
   // arrived or has waited for a configuration.
   void AdmitAndDispatch(Request& r);
-  void ResumeAwaitingConfig();
+  void ResumeRequestsAwaitingConfig();
   bool ConfigMayBeOutdated(const absl::Status& rejection) const;
-  absl::Status Admit(Request& r);
+  absl::Status AdmitRequest(Request& r);
   void Dispatch(Request& r);
   PlacementRequest PlacementRequestFor(const Request& r) const;
   bool TrySend(Request& r);
@@ -133,12 +137,12 @@
   SendSlotQuery SendSlotQueryFor(const UpstreamState& u, TimePoint now) const;
   bool HasSendSlot(const UpstreamState& u, TimePoint now) const;
   void UseSendSlot(UpstreamState& u, TimePoint now);
-  void CountAccountRun(Request& r);
+  void CountAccountRequest(Request& r);
   void OnPrefillDone(Request& r, TimePoint now);
   bool RelayEvent(Request& r, absl::string_view event);
-  void ObserveEventGap(Request& r, TimePoint now);
-  void ObserveDecodePace(Request& r, TimePoint now);
-  void RespondWithHeldAnswer(Request& r);
+  void MeasureEventGap(Request& r, TimePoint now);
+  void MeasureDecodePace(Request& r, TimePoint now);
+  void SendBufferedAnswer(Request& r);
   Endpoint FindCopySource(const Request& r, const UpstreamState& to,
                           TimePoint now);
   // Retries the request at another upstream after a failed attempt, or gives it
@@ -159,7 +163,7 @@
   // Fails requests that were quarantined after they had been admitted.
   void FailQuarantinedRequests();
   void RetryIfStalled(Request& r, TimePoint now);
-  void DispatchWaiting();
+  void DispatchWaitingRequests();
   static std::string MetricLabel(const Request& r);
   Request* FindAttempt(uint64_t seq, int attempt);
   void UpdateDecodeDemand(TimePoint now);
@@ -198,18 +202,19 @@
   std::unordered_map<uint64_t, RequestPtr> requests_;
   std::multimap<TimePoint, uint64_t> deadlines_;
   std::map<std::string, RetryBudget> retry_budgets_;
-  // Time when a request to the service was last answered, by service.
+  // Time when a request to each service was last answered, by service name.
   std::map<std::string, TimePoint> last_answered_at_;
-  // Demand for long generations as seen by this process, by service; only
-  // services with engines.
+  // Demand for long generations that this process has seen, by name of the
+  // service; only for services with engines.
   std::map<std::string, DecodeDemand> decode_demand_;
-  // Number of engines kept for long generations, by service.
+  // Number of engines that are kept for long generations, by service name.
   std::map<std::string, int> decode_engines_;
   // Prefill limiters by service.
   std::map<std::string, PrefillLimiter> prefill_limiters_;
   // Tier admission by service.
   std::map<std::string, TierAdmission> tier_admissions_;
-  // Number of waiting requests as last set in the metrics, by metric label.
+  // Number of waiting requests that the metrics currently show, by metric
+  // label.
   std::map<std::string, int> reported_waiting_;
   TimePoint demand_updated_at_{};
   uint64_t next_seq_ = 1;
--- a/src/gateway_answer.cc
+++ b/src/gateway_answer.cc
@@ -1,6 +1,7 @@
 // Gateway: handling of an upstream's answer. Signed successful streams are
 // relayed event by event. Other answers are buffered until they are complete.
-// Answers to other requests and successes without a signature are not trusted.
+// An answer is not trusted if it belongs to another request, or if it reports
+// success without the upstream's signature.
 #include "absl/strings/str_cat.h"
 #include "gateway.h"
 #include "gateway_request.h"
@@ -48,15 +49,15 @@
   if (!r.answer_facts.not_run) r.may_have_run = true;
   r.relaying = r.stream() && success && r.answer_facts.has_signature;
   bool first_token_follows = r.service->engine && success;
-  if (!r.answer_facts.not_run && !first_token_follows) CountAccountRun(r);
+  if (!r.answer_facts.not_run && !first_token_follows) CountAccountRequest(r);
   return true;
 }
 
 // Counts a request of a client account once when it has begun to run,
-// regardless of retries. A request to an engine has begun when its first token
-// or its failure answer arrives. A request to a plain service has begun before
-// the service answers.
-void Gateway::CountAccountRun(Request& r) {
+// regardless of retries. A request to an engine counts as begun when its first
+// token or an error answer arrives. A request to a plain service has already
+// begun when its answer arrives.
+void Gateway::CountAccountRequest(Request& r) {
   if (r.run_counted || !options_.on_request_run || r.account.empty()) return;
   r.run_counted = true;
   options_.on_request_run(r.account);
@@ -68,13 +69,12 @@
   if (UpstreamState* u = pool_.Find(r.upstream)) u->last_activity_at = now;
   if (r.prefill_pending) {
     OnPrefillDone(r, now);
-    // Requests already waiting get the freed slot before requests that arrive
-    // now.
-    DispatchWaiting();
+    // Requests that already wait get the freed slot before new requests.
+    DispatchWaitingRequests();
   }
   if (!r.relaying) {
-    r.held_body.append(data.data(), data.size());
-    if (r.held_body.size() > kMaxHeldAnswerBytes) {
+    r.buffered_body.append(data.data(), data.size());
+    if (r.buffered_body.size() > kMaxHeldAnswerBytes) {
       HandleFailedAttempt(r, CallEnd::kInterrupted, "answer too large");
     }
     return;
@@ -97,8 +97,8 @@
   }
 }
 
-// Records the end of the prefill, when the first bytes of the answer's body
-// arrive.
+// Records that the engine has finished the prefill. Called when the first bytes
+// of the answer's body arrive.
 void Gateway::OnPrefillDone(Request& r, TimePoint now) {
   r.prefill_pending = false;
   PrefillLimiter& limiter = PrefillLimiterFor(r.service->name);
@@ -111,8 +111,8 @@
   RecordFirstEvent(*u, elapsed, r.route->latency_target, options_.placement);
 }
 
-// Relays one event to the caller. Returns false if the event's id is not the
-// successor of the last relayed one.
+// Relays one event to the caller. Returns false if the event's id does not
+// follow the id of the last relayed event.
 bool Gateway::RelayEvent(Request& r, absl::string_view event) {
   std::optional<int64_t> id = ParseEventId(event);
   if (id && r.last_event) {
@@ -125,7 +125,7 @@
     prefix_cache_index_.RecordPrefilled(r.facts.parts, r.upstream,
                                         clock_.Now());
   }
-  if (r.service->engine) CountAccountRun(r);
+  if (r.service->engine) CountAccountRequest(r);
   if (!r.stream_started) {
     r.exchange->StartAnswer(r.answer.status, r.answer.reason,
                             HeadersForCaller(r.answer));
@@ -135,8 +135,8 @@
         MetricLabel(r), ToSeconds(r.first_event_at - r.exchange->arrived));
   }
   TimePoint now = clock_.Now();
-  if (r.events > 0) ObserveEventGap(r, now);
-  if (r.shape == WorkShape::kDecode) ObserveDecodePace(r, now);
+  if (r.events > 0) MeasureEventGap(r, now);
+  if (r.shape == WorkShape::kDecode) MeasureDecodePace(r, now);
   r.last_event_at = now;
   r.exchange->Write(event);
   if (id) r.last_event = id;
@@ -145,7 +145,7 @@
 }
 
 // Records the gap between the previous event and the current one.
-void Gateway::ObserveEventGap(Request& r, TimePoint now) {
+void Gateway::MeasureEventGap(Request& r, TimePoint now) {
   Duration gap = now - r.last_event_at;
   if (gap > r.longest_gap) {
     r.longest_gap = gap;
@@ -163,7 +163,7 @@
 
 // Records the decode pace as a mean over a few consecutive events. Single gaps
 // vary too much, because the network delays events unevenly.
-void Gateway::ObserveDecodePace(Request& r, TimePoint now) {
+void Gateway::MeasureDecodePace(Request& r, TimePoint now) {
   constexpr int kPaceWindowEvents = 8;
   if (r.pace_window_start < r.sent_at) {
     r.pace_window_start = now;
@@ -208,26 +208,27 @@
   last_answered_at_[r.service->name] = now;
   ReleaseUpstream(r);
   if (r.stream_started && !r.relaying) {
-    // The caller already has the head of the stream, so no other answer can
-    // follow.
+    // The caller already has the head of this stream, so it cannot get another
+    // answer.
     FailRequest(r, ErrorKind::kOutcomeUnknown,
                 absl::StrCat("status ", r.answer.status, " on resuming"));
-    DispatchWaiting();
+    DispatchWaitingRequests();
     return;
   }
   if (r.stream_started) {
-    r.exchange->Finish();
+    r.exchange->FinishAnswer();
   } else {
     // This branch also handles a stream that ended without events, which is
     // complete.
-    RespondWithHeldAnswer(r);
+    SendBufferedAnswer(r);
   }
   FinishRequest(r, "answered", absl::StrCat(r.answer.status));
-  DispatchWaiting();
+  DispatchWaitingRequests();
 }
 
-void Gateway::RespondWithHeldAnswer(Request& r) {
-  r.exchange->Respond(r.answer.status, HeadersForCaller(r.answer), r.held_body);
+void Gateway::SendBufferedAnswer(Request& r) {
+  r.exchange->Respond(r.answer.status, HeadersForCaller(r.answer),
+                      r.buffered_body);
 }
 
 HeaderList Gateway::HeadersForCaller(const MessageHead& answer) const {
--- a/src/gateway_failure.cc
+++ b/src/gateway_failure.cc
@@ -12,9 +12,10 @@
 
 // Minimum time left until the deadline for a request to be sent again.
 constexpr auto kMinTimeToRetry = Millis(20);
-// Retry-After in seconds before any load is known, which is also its lower
-// bound; its random spread; its upper bound in seconds. Without the spread,
-// callers rejected at the same moment would return together.
+// Lower bound of Retry-After in seconds, also used if it is unknown when the
+// service last answered; its random spread; its upper bound in seconds. Without
+// the spread, callers that are rejected at the same moment would all return at
+// the same moment.
 constexpr double kMinRetryAfterSeconds = 0.3;
 constexpr double kRetryAfterSpread = 0.5;
 constexpr double kMaxRetryAfterSeconds = 3;
@@ -22,7 +23,8 @@
 // arrived. If no head has arrived, the time counts from the sending of the
 // request.
 constexpr auto kJustBegunWindow = Millis(500);
-// Retry-After for callers that another entry process can serve at once.
+// Retry-After for callers that this process rejects because it is draining.
+// Another entry process can serve them at once.
 constexpr auto kDrainRetryAfter = Millis(20);
 
 // Returns whether `kind` means that the request was rejected or shed for lack
@@ -50,16 +52,18 @@
 
 bool Gateway::ClaimRetry(Request& r, CallEnd end) {
   TimePoint now = clock_.Now();
-  if (r.exchange->gone() || r.deadline - now < kMinTimeToRetry) return false;
-  // A quarantined request would crash the next upstream too.
+  if (r.exchange->disconnected() || r.deadline - now < kMinTimeToRetry)
+    return false;
+  // A quarantined request is not retried, because it would crash the next
+  // upstream too.
   if (quarantine_.IsQuarantined(r.fingerprint)) return false;
   // Waiting for a slot helps only if there is an upstream that the request has
   // not tried.
   bool upstream_left =
       HasUntriedUpstream(pool_.upstreams(), PlacementRequestFor(r));
   if (end == CallEnd::kNotSent) {
-    // Nothing reached the upstream, so the failure costs neither an attempt nor
-    // retry budget.
+    // Nothing reached the upstream, so the failed connection counts neither as
+    // an attempt nor against the retry budget.
     --r.sends;
     return ++r.connect_failures < kConnectTimeouts.size() && upstream_left;
   }
@@ -75,8 +79,8 @@
   return true;
 }
 
-// Records that the upstream has terminated, or may have terminated, if the way
-// in which the attempt ended shows or suggests that.
+// Records that the upstream has terminated if the end of the attempt proves it,
+// or that it may have terminated if the end only suggests it.
 void Gateway::CheckForUpstreamTermination(const Request& r, CallEnd end) {
   bool answered = r.have_head && end == CallEnd::kWhole;
   TimePoint now = clock_.Now();
@@ -131,7 +135,7 @@
                                        : ErrorKind::kQuarantined,
                 "crashes upstreams");
   }
-  if (!to_fail.empty()) DispatchWaiting();
+  if (!to_fail.empty()) DispatchWaitingRequests();
 }
 
 void Gateway::HandleFailedAttempt(Request& r, CallEnd end,
@@ -150,7 +154,7 @@
   if (end != CallEnd::kNotSent && !not_run) {
     r.may_have_run = true;
     // A plain service whose answer was lost has usually executed the request.
-    if (!r.service->engine) CountAccountRun(r);
+    if (!r.service->engine) CountAccountRequest(r);
   }
   LogEvent("attempt_failed",
            {{"request", r.facts.id},
@@ -171,21 +175,21 @@
     return;
   }
   if (answered && !not_run && !r.stream_started) {
-    RespondWithHeldAnswer(r);
+    SendBufferedAnswer(r);
     FinishRequest(r, "answered", absl::StrCat(r.answer.status));
   } else if (r.may_have_run) {
     FailRequest(r, ErrorKind::kOutcomeUnknown, why);
   } else {
     FailRequest(r, ErrorKind::kNotRun, why);
   }
-  DispatchWaiting();
+  DispatchWaitingRequests();
 }
 
 Duration Gateway::ComputeRetryAfter(const Request& r, ErrorKind kind) {
   if (kind == ErrorKind::kQuarantined) {
     return quarantine_.RemainingQuarantine(r.fingerprint, clock_.Now());
   }
-  // Other entry processes can serve the caller, so there is no need to wait.
+  // Another entry process can serve the caller at once.
   if (kind == ErrorKind::kDraining) return kDrainRetryAfter;
   std::uniform_real_distribution<double> spread(1 - kRetryAfterSpread,
                                                 1 + kRetryAfterSpread);
@@ -210,10 +214,10 @@
   return backoff + ClampedSeconds(seconds * spread(random_));
 }
 
-// Records at tier admission a request rejected for lack of capacity, unless no
-// upstream is usable. In an outage no request takes the slot of another. If
-// such rejections were reported, less urgent tiers would be held back after the
-// outage until the rejections fade.
+// Tells the service's tier admission that a request was rejected for lack of
+// capacity, unless no upstream is usable. In such an outage no request takes
+// the slot of another. If rejections during an outage were recorded, tier
+// admission would still hold back less urgent tiers after the outage.
 void Gateway::RecordCapacityRejection(const Request& r) {
   TimePoint now = clock_.Now();
   AvailabilityCounts n = CountAvailability(
@@ -222,7 +226,8 @@
   TierAdmissionFor(r.service->name).RecordRejection(r.tier, now);
 }
 
-// Sends the final answer of a request for which there is no upstream's answer.
+// Sends an error as the final answer of a request that no upstream has
+// answered.
 void Gateway::FailRequest(Request& r, ErrorKind kind, absl::string_view why) {
   const ErrorAnswer& a = ErrorAnswerFor(kind);
   if (r.stream_started) {
--- a/src/gateway_limits.cc
+++ b/src/gateway_limits.cc
@@ -66,7 +66,8 @@
   if (limits_.changes() != before) ApplyLimitsToUpstreams();
 }
 
-// Copies the known rate limit of each upstream to its state.
+// Copies the known rate limit of each upstream from the table to the upstream's
+// state.
 void Gateway::ApplyLimitsToUpstreams() {
   limit_changes_applied_ = limits_.changes();
   for (UpstreamState& u : pool_.upstreams()) {
--- a/src/gateway_request.h
+++ b/src/gateway_request.h
@@ -34,7 +34,7 @@
   std::string account;
   RequestFingerprint fingerprint = 0;
   Tier tier = 0;
-  // Priority, from the request's tier and then the account's tier.
+  // Priority rank: first by the request's tier, then by the account's tier.
   Tier rank = 0;
   uint64_t affinity = 0;
   int64_t shared_tokens = 0;
@@ -46,11 +46,12 @@
   std::multimap<TimePoint, uint64_t>::iterator deadline_entry;
   bool waiting = false;
   TimePoint starving_from{};  // Valid while `waiting`.
-  bool may_have_run = false;  // Some upstream may have run the request.
+  bool may_have_run = false;  // An upstream may have run the request.
   bool run_counted = false;   // on_request_run was called for this request.
   int sends = 0;  // Number of times the request was sent to an upstream.
-  size_t connect_failures = 0;     // Number of failed connection attempts.
-  std::vector<std::string> tried;  // Ids of the upstreams already tried.
+  size_t connect_failures = 0;  // Number of failed connection attempts.
+  std::vector<std::string>
+      tried_upstreams;  // Ids of the upstreams already tried.
   // State of the current attempt.
   int attempt = 0;
   std::string upstream;  // Empty if there is no current attempt.
@@ -61,7 +62,7 @@
   MessageHead answer;
   AnswerFacts answer_facts;
   // Buffered body of an answer that is not relayed while it arrives.
-  std::string held_body;
+  std::string buffered_body;
   bool have_head = false;
   // Whether the request is counted in the pending prefills of `upstream`.
   bool prefill_pending = false;
@@ -79,7 +80,8 @@
   // measured.
   TimePoint pace_window_start{};
   int pace_window_events = 0;  // Number of events since pace_window_start.
-  // Longest gap between events, and the upstream of the event after that gap.
+  // Longest gap between two consecutive events, and id of the upstream that
+  // sent the event after this gap.
   Duration longest_gap{};
   std::string longest_gap_upstream;
 
--- a/src/gateway_timers.cc
+++ b/src/gateway_timers.cc
@@ -1,4 +1,4 @@
-// Gateway: work driven by time. Dispatches waiting requests, enforces timeouts,
+// Gateway: periodic work. Dispatches waiting requests, enforces timeouts,
 // detects silent upstreams and ends planned stops.
 #include <algorithm>
 #include <set>
@@ -23,29 +23,31 @@
 // request is retried at another upstream. It is at least kMinPlainStall.
 constexpr int kPlainStallLatencyTargets = 3;
 constexpr auto kMinPlainStall = Millis(300);
-// Smoothing time of the demand for long generations. Without smoothing, a few
-// requests more or less would move an engine from one work shape to the other.
+// Time over which the demand for long generations is smoothed. Without
+// smoothing, a few requests more or less would move an engine from one kind of
+// work (prefill or decode) to the other.
 constexpr std::chrono::duration<double> kDemandSmoothing =
     std::chrono::seconds(3);
 
 }  // namespace
 
 // Sends waiting requests to upstreams with free slots, in serving order.
-void Gateway::DispatchWaiting() {
+void Gateway::DispatchWaitingRequests() {
   if (dispatching_waiting_) return;
   dispatching_waiting_ = true;
   for (const std::string& service : waiting_queue_.WaitingServices()) {
     // A request that cannot be placed does not block the requests behind it in
     // the queue.
     TimePoint now = clock_.Now();
-    // Properties that decide placement, of the requests that could not be
-    // placed in this pass. Other requests with equal properties are skipped.
+    // Requests that could not be placed in this pass, each stored as the
+    // properties that decide its placement. Later requests with the same
+    // properties are skipped.
     std::set<std::tuple<Tier, bool, WorkShape, uint64_t>> unplaceable;
     for (uint64_t seq : waiting_queue_.ServingOrder(service, now)) {
       Request& r = *requests_.at(seq);
       auto placement_key =
           std::make_tuple(r.rank, now >= r.starving_from, r.shape, r.affinity);
-      bool interchangeable = r.tried.empty() && r.facts.pinned == 0;
+      bool interchangeable = r.tried_upstreams.empty() && r.facts.pinned == 0;
       if (interchangeable && unplaceable.count(placement_key)) continue;
       if (!TrySend(r)) {
         if (interchangeable) unplaceable.insert(placement_key);
@@ -75,7 +77,7 @@
   }
   if (now - r.progress_at < limit) return;
   const UpstreamState* u = pool_.Find(r.upstream);
-  // An upstream that still sends data to other requests is busy, not silent.
+  // An upstream that still sends data for other requests is busy, not silent.
   if (r.stream() && u && now - u->last_activity_at < kMinStreamStall) return;
   HandleFailedAttempt(r, CallEnd::kNoAnswer, "silent");
 }
@@ -118,7 +120,8 @@
   }
 }
 
-// Updates the metrics of labels whose number of waiting requests has changed.
+// Updates the metric of waiting requests for each label whose number has
+// changed.
 void Gateway::UpdateWaitingMetrics() {
   std::map<std::string, int> waiting;
   for (const auto& [label, n] : reported_waiting_) waiting[label] = 0;
@@ -179,7 +182,7 @@
   if (options_.placement.straggler_factor > 0) {
     MarkStragglers(absl::MakeSpan(pool_.upstreams()), options_.placement);
   }
-  DispatchWaiting();
+  DispatchWaitingRequests();
   UpdateWaitingMetrics();
 }
 
--- a/src/http1_client.h
+++ b/src/http1_client.h
@@ -49,7 +49,7 @@
   TimePoint idle_since() const override { return idle_since_; }
   // Returns how long the connection may be reused while idle, as stated by the
   // upstream or by default.
-  Duration keep_for() const override { return keep_alive_time_; }
+  Duration max_idle_time() const override { return keep_alive_time_; }
 
  private:
   void OnConnected();
--- a/src/ledger.cc
+++ b/src/ledger.cc
@@ -79,8 +79,9 @@
   while (std::getline(in, line)) {
     ++n;
     json r = json::parse(line, nullptr, false);
-    // An incomplete last line is a write that was never synced, so no request
-    // was sent or answered because of it.
+    // An incomplete last line is from a record that was never synced. No
+    // request was sent or answered because of this record, so the line is
+    // dropped.
     if (r.is_discarded() || !r.contains("k") || !r.contains("op")) {
       if (in.peek() == EOF) break;
       return absl::DataLossError(absl::StrCat("ledger ", path_, ": line ", n));
@@ -98,7 +99,7 @@
   return absl::OkStatus();
 }
 
-absl::Status Ledger::Append(const std::string& line) {
+absl::Status Ledger::AppendRecord(const std::string& line) {
   if (path_.empty()) return absl::OkStatus();
   absl::Status s = WriteAndSync(fd_, line + "\n");
   if (!s.ok()) return s;
@@ -165,7 +166,7 @@
     }
     return absl::OkStatus();
   }
-  absl::Status s = Append(json{
+  absl::Status s = AppendRecord(json{
       {"op", "start"},
       {"k", std::string(key)},
       {"fp", fingerprint}}.dump());
@@ -186,17 +187,18 @@
   it->second.http_status = http_status;
   it->second.body = std::string(body);
   started_by_this_process_.erase(std::string(key));
-  return Append(json{{"op", "done"},
-                     {"k", std::string(key)},
-                     {"status", http_status},
-                     {"body", std::string(body)}}
-                    .dump());
+  return AppendRecord(json{
+      {"op", "done"},
+      {"k", std::string(key)},
+      {"status", http_status},
+      {"body",
+       std::string(body)}}.dump());
 }
 
 absl::Status Ledger::AbandonRequest(absl::string_view key) {
   entries_.erase(std::string(key));
   started_by_this_process_.erase(std::string(key));
-  return Append(json{{"op", "abandon"}, {"k", std::string(key)}}.dump());
+  return AppendRecord(json{{"op", "abandon"}, {"k", std::string(key)}}.dump());
 }
 
 }  // namespace medlarwalk
--- a/src/ledger.h
+++ b/src/ledger.h
@@ -1,10 +1,10 @@
 // The at-most-once ledger records for each idempotency key whether its request
 // was started and, once completed, the answer. A key is recorded and synced to
 // disk before the request is sent upstream, so a resend never runs the request
-// twice, even after a restart of this process: it gets the stored answer,
-// "still running" or "outcome unknown". Records are JSON lines in one file. The
-// file is compacted into a snapshot when it holds twice as many records as
-// there are live entries.
+// twice, even after a restart of this process. The resend gets the stored
+// answer, "still running" or "outcome unknown". Records are JSON lines in one
+// file. The file is compacted into a snapshot when it holds twice as many
+// records as there are live entries.
 #ifndef MEDLARWALK_LEDGER_H_
 #define MEDLARWALK_LEDGER_H_
 
@@ -64,11 +64,11 @@
   absl::Status AbandonRequest(absl::string_view key);
 
   size_t size() const { return entries_.size(); }
-  // Returns an upper bound on the number of records in the file.
+  // Returns an upper bound of the number of records in the ledger file.
   size_t log_records() const { return log_records_; }
 
  private:
-  absl::Status Append(const std::string& line);
+  absl::Status AppendRecord(const std::string& line);
   absl::Status Compact();
 
   std::string path_;
--- a/src/lister.cc
+++ b/src/lister.cc
@@ -84,7 +84,7 @@
 void Lister::RequestPage(const std::string& token) {
   page_requested_at_ = clock_.Now();
   if (!client_ || !client_->open() ||
-      clock_.Now() - client_->idle_since() > client_->keep_for()) {
+      clock_.Now() - client_->idle_since() > client_->max_idle_time()) {
     client_ =
         Http1Client::Open(loop_, clock_, source_.endpoint, kConnectTimeout);
   }
--- a/src/load_tool.cc
+++ b/src/load_tool.cc
@@ -42,7 +42,8 @@
 
 double LoopTime(struct ev_loop* loop) { return ev_now(loop); }
 
-// Parses the complete events in `o.unparsed` and removes them from it.
+// Parses the complete events of the stream in `o.unparsed` and removes them
+// from that buffer.
 void ParseReceivedEvents(RequestOutcome& o, double now) {
   size_t end;
   while ((end = o.unparsed.find("\n\n")) != std::string::npos) {
@@ -108,8 +109,9 @@
   size_t class_index;
 };
 
-// Returns the arrival times of an open loop: gaps are exponential at the
-// current rate, so bursts arrive whether or not earlier requests were answered.
+// Returns the times at which the requests of an open-loop load are sent. The
+// gaps between them are exponentially distributed at the current rate, whether
+// or not earlier requests were answered.
 std::vector<Arrival> PlanArrivals(const Workload& w) {
   std::mt19937_64 rng(w.seed);
   std::vector<Arrival> out;
--- a/src/load_tool.h
+++ b/src/load_tool.h
@@ -39,8 +39,9 @@
 
 // A workload for one run.
 struct Workload {
-  std::vector<std::string> targets;  // Base URLs, used round-robin.
-  // Base URLs; their /stats gives the wasted work.
+  // Base URLs to which requests are sent, in turn (round-robin).
+  std::vector<std::string> targets;
+  // Base URLs of the engines whose /stats are read to compute the wasted work.
   std::vector<std::string> engines;
   double duration_s = 5;
   double drain_s = 10;  // Longest wait for answers after the last request.
@@ -54,7 +55,7 @@
   int sent = 0;
   int complete = 0;       // Complete answers, each to its own request.
   int met_targets = 0;    // Complete answers within both latency targets.
-  int error_answers = 0;  // Requests without an answer of status 200.
+  int error_answers = 0;  // Requests that got no answer with status 200.
   int incomplete = 0;     // Answers that ended early.
   int misdelivered = 0;   // Complete answers that belong to another request.
   double attainment = 0;
--- a/src/loop_watch.cc
+++ b/src/loop_watch.cc
@@ -18,8 +18,8 @@
 LoopWatch::LoopWatch(struct ev_loop* loop, const Clock& clock,
                      std::function<void(Duration)> on_iteration)
     : loop_(loop), clock_(clock), on_iteration_(std::move(on_iteration)) {
-  // The check watcher runs before all others after the loop's wait. The prepare
-  // watcher runs after all others before the next wait.
+  // After the loop's wait, the check watcher runs before all other watchers.
+  // Before the next wait, the prepare watcher runs after all others.
   ev_check_init(&check_, OnCheck);
   ev_set_priority(&check_, EV_MAXPRI);
   check_.data = this;
--- a/src/loop_watch.h
+++ b/src/loop_watch.h
@@ -23,7 +23,8 @@
   LoopWatch(const LoopWatch&) = delete;
   LoopWatch& operator=(const LoopWatch&) = delete;
 
-  // Returns when the current iteration began, after the loop's wait.
+  // Returns the time when the current iteration began, that is, when the loop's
+  // last wait ended.
   TimePoint iteration_started() const { return iteration_started_; }
   // Returns the duration of the longest iteration in the current and the
   // previous second, including the current iteration.
--- a/src/native_api.cc
+++ b/src/native_api.cc
@@ -21,13 +21,14 @@
 constexpr char kServicePrefix[] = "/v1/services/";
 // Maximum number of upstreams to which the gateway sends one request.
 constexpr int kMaxAttempts = 3;
-// Time after which an answer counts as failed. This API itself sets no time
-// limit for streams.
+// Time after which a request without a complete answer counts as failed. The
+// native API itself sets no time limit for streams.
 constexpr auto kMaxAnswerTime = std::chrono::minutes(10);
 // Number of leading characters for prefix affinity: prompts that have these
 // characters in common prefer the same engine.
 constexpr size_t kAffinityPrefixChars = 64;
-// Approximate value for estimates of prompt lengths.
+// Approximate number of characters per token, to estimate the length of a
+// prompt.
 constexpr int64_t kCharsPerToken = 4;
 
 absl::string_view PathWithoutQuery(const MessageHead& head) {
@@ -247,7 +248,8 @@
   RoutingConfig c;
   c.version = settings.version;
   c.limits.body_bytes = kMaxBodyBytes;
-  // Services of each path; a service's weight is its number of upstreams.
+  // Services to which each path routes. The weight of a service is its number
+  // of upstreams.
   std::map<std::string, std::map<std::string, double>> paths;
   for (const UpstreamSettings& u : settings.upstreams) {
     std::string service = CoreServiceName(u);
--- a/src/native_api.h
+++ b/src/native_api.h
@@ -1,7 +1,7 @@
-// Adapts the native API of medlarwalk to the types of the core: the API for
-// callers (OpenAI-style completions and plain services, with account and class
-// in headers), the settings file and the agents. This code makes no routing
-// decisions.
+// Converts between the types of the core and the native API of medlarwalk. This
+// API consists of the requests of callers (OpenAI-style completions and plain
+// services, with account and class in headers), the settings file and the
+// messages to agents. This code makes no routing decisions.
 #ifndef MEDLARWALK_NATIVE_API_H_
 #define MEDLARWALK_NATIVE_API_H_
 
--- a/src/serving.cc
+++ b/src/serving.cc
@@ -12,8 +12,8 @@
 namespace {
 
 // Time for which a configuration counts as current after control confirmed it.
-// An up-to-date control process answers a watch within 0.4 s. Operators can
-// demand that a configuration change takes effect everywhere within 2 s or
+// An up-to-date control process answers a watch request within 0.4 s. Operators
+// can demand that a configuration change takes effect everywhere within 2 s or
 // more; after that time, requests that the change allows must not be rejected.
 constexpr auto kConfigTrust = Millis(1500);
 constexpr double kTickSeconds = 0.02;
@@ -24,9 +24,9 @@
 constexpr Duration kMaxListAge = Millis(2000);
 constexpr int kMaxListAgeInReads = 2;
 constexpr Duration kOwnListInterval = Millis(2000);
-// Time after SIGTERM for which new connections are accepted. They keep arriving
-// until two readiness probes have failed and the load balancer has removed this
-// host.
+// Time after SIGTERM for which new connections are accepted. New connections
+// arrive until two readiness probes have failed and the load balancer has
+// removed this host.
 constexpr auto kAcceptWhileDraining = Millis(2500);
 // Time after SIGTERM at which idle connections are closed; callers open new
 // ones at other entry processes.
@@ -56,7 +56,7 @@
             };
             if (options_.usage.window > Duration::zero()) {
               o.on_request_run = [this](const std::string& account) {
-                CountAccountRun(account);
+                CountAccountRequest(account);
               };
             }
             return o;
@@ -64,7 +64,7 @@
           options_.dialect, metrics_, RandomSeed()),
       callers_(loop, clock,
                [this](std::shared_ptr<CallerExchange> ex) {
-                 gateway_.Handle(std::move(ex));
+                 gateway_.HandleRequest(std::move(ex));
                }),
       readiness_(loop, clock,
                  [this](std::shared_ptr<CallerExchange> ex) {
@@ -99,9 +99,9 @@
           }),
       lister_(loop, clock, options_.list),
       // Initialized to the current time so that this process does not read the
-      // list itself at startup. If all processes start at once, control has a
-      // list within a moment, unless all entry processes use up the calls that
-      // the list's source accepts.
+      // list itself at startup. Control soon has a list even if all processes
+      // start at once, unless the entry processes use up the calls that the
+      // list's source accepts.
       list_current_at_(clock.Now()) {
   InitTimer(&tick_, OnTick, kTickSeconds, kTickSeconds);
   tick_.data = this;
@@ -135,8 +135,8 @@
 }
 
 void Serving::OnWatchReply(const WatchReply& r, bool in_sync) {
-  // Crash records and limits are merged from any control process, because a
-  // recorded crash never becomes invalid.
+  // Crash records and limits are merged from any control process, even one that
+  // is not up to date, because a recorded crash never becomes invalid.
   if (r.quarantine) MergeCrashRecords(*r.quarantine);
   if (r.limits) MergeLimitRecords(*r.limits);
   // A control process that is not up to date may hold an old configuration. Its
@@ -179,7 +179,7 @@
   gateway_.MergeLimits(*r);
 }
 
-void Serving::CountAccountRun(const std::string& account) {
+void Serving::CountAccountRequest(const std::string& account) {
   std::optional<int64_t> unix_ms = group_time_.UnixMsAt(clock_.Now());
   if (unix_ms) {
     usage_.CountRequest(process_id_, WindowAt(*unix_ms, options_.usage),
@@ -195,7 +195,8 @@
                            : c->from == 0 ? "whole"
                                           : "difference",
                            r.list->size());
-  // After a change that does not apply, version 0 requests the complete list.
+  // If the change does not apply to the list held here, the next watch request
+  // states version 0, to get the complete list.
   watch_.next_request().list_version = applied ? list_.version() : 0;
   if (!applied) {
     LogWarn("list_unfit", {{"held", before},
@@ -277,10 +278,10 @@
     stopped_accepting_ = true;
     callers_.StopAccepting();
   }
-  if (since > kCloseIdleAfter) callers_.CloseIdle();
+  if (since > kCloseIdleAfter) callers_.CloseIdleConnections();
   if (since > options_.grace - kGraceMargin) gateway_.FailUnfinishedRequests();
   if (stopped_accepting_ && gateway_.open_requests() == 0 &&
-      callers_.busy() == 0) {
+      callers_.requests_in_progress() == 0) {
     LogEvent("stopped", {});
     ev_break(loop_, EVBREAK_ALL);
   }
--- a/src/serving.h
+++ b/src/serving.h
@@ -31,12 +31,14 @@
   Endpoint metrics;  // Address that serves Prometheus text at /metrics.
   std::vector<std::string> control_seeds;
   Duration grace = std::chrono::seconds(8);  // Time from SIGTERM to SIGKILL.
-  // Number of descriptors that this process may have open at once.
+  // Maximum number of file descriptors that this process may have open.
   size_t descriptors = DescriptorLimit();
   GatewayOptions gateway;
   Dialect dialect;
   ListSource list;
-  UsagePolicy usage;  // If its window is zero, requests are not counted.
+  // Policy for counting requests by client account; if its window is zero, none
+  // are counted.
+  UsagePolicy usage;
   // Decodes a configuration document. Errors: InvalidArgument.
   std::function<absl::StatusOr<RoutingConfig>(absl::string_view)> decode;
 };
@@ -66,7 +68,7 @@
   void OnWatchReply(const WatchReply& r, bool in_sync);
   void MergeCrashRecords(absl::string_view encoded);
   void MergeLimitRecords(absl::string_view encoded);
-  void CountAccountRun(const std::string& account);
+  void CountAccountRequest(const std::string& account);
   void ApplyListUpdate(const WatchReply& r);
   void ApplyConfig(int64_t version, const std::string& document);
   // Reads the upstream list from its source if control's list is too old.
--- a/src/upstream_link.h
+++ b/src/upstream_link.h
@@ -1,7 +1,8 @@
 // Interface of a link that carries one call at a time to one upstream: a
 // reusable HTTP/1.1 connection (http1_client) or a stream to the agent on the
-// upstream's host (agent_link). A link knows how far a call got: not written,
-// possibly run or answered. This state decides which answer the caller may get.
+// upstream's host (agent_link). A link knows whether the request of a call was
+// not written, may have run or was answered. This state decides which answer
+// the caller may get.
 #ifndef MEDLARWALK_UPSTREAM_LINK_H_
 #define MEDLARWALK_UPSTREAM_LINK_H_
 
@@ -21,7 +22,8 @@
   std::string method;
   std::string target;
   HeaderList headers;
-  // View that must stay valid until Start has returned.
+  // View of the request body. The body must stay valid until Start has
+  // returned.
   absl::string_view body;
 };
 
@@ -67,14 +69,15 @@
   // Returns whether the upstream's host refused the connection, that is, no
   // process listens at the address.
   virtual bool refused() const { return false; }
-  // Returns whether any byte of the current call was written.
+  // Returns whether any byte of the current request was written.
   virtual bool sent() const = 0;
-  // Pauses or resumes reading the answer while the caller reads slowly.
+  // Pauses or resumes reading the answer, so that a slow caller does not make
+  // this process buffer it.
   virtual void SetReadPaused(bool paused) = 0;
   // Returns the time when the link became idle.
   virtual TimePoint idle_since() const = 0;
   // Returns how long the link may stay idle.
-  virtual Duration keep_for() const = 0;
+  virtual Duration max_idle_time() const = 0;
 };
 
 // Opens a link to an upstream. If a new connection is not established within
--- a/src/upstream_pool.cc
+++ b/src/upstream_pool.cc
@@ -8,7 +8,7 @@
 namespace {
 
 bool Usable(const UpstreamLink& c, TimePoint now) {
-  return c.open() && c.idle() && now - c.idle_since() < c.keep_for();
+  return c.open() && c.idle() && now - c.idle_since() < c.max_idle_time();
 }
 
 }  // namespace
@@ -51,8 +51,8 @@
     }
     UpstreamState& state = upstreams_[it->second];
     state.listed = true;
-    // An outdated entry is ignored: the list may lag, and several processes
-    // read it.
+    // A list entry with an earlier start time than the known one is outdated
+    // and ignored. Lists may lag, and several processes read them.
     if (u.started_unix_ms && u.started_unix_ms < state.info.started_unix_ms)
       continue;
     if (HasRestarted(state.info, u)) {
@@ -101,8 +101,8 @@
   Connections& c = connections_[u.info.id];
   ++c.in_use;
   TimePoint now = clock_.Now();
-  // The most recently used link is chosen first, because the upstream is least
-  // likely to have closed it.
+  // Chooses the most recently used link, because it is the one that the
+  // upstream is least likely to have closed.
   while (!c.idle.empty()) {
     std::shared_ptr<UpstreamLink> link = std::move(c.idle.back());
     c.idle.pop_back();
--- a/src/upstream_pool.h
+++ b/src/upstream_pool.h
@@ -23,8 +23,9 @@
   UpstreamPool(const Clock& clock, LinkOpener open);
 
   // Applies a newly read upstream list. Upstreams that are no longer listed
-  // stay until their last request has ended. Returns the ids of restarted
-  // upstreams, for which all earlier state is invalid.
+  // stay until their last request has ended. Returns the ids of the upstreams
+  // that have restarted, so that the caller can drop other state that it keeps
+  // of them.
   std::vector<std::string> Update(absl::Span<const UpstreamInfo> listed);
 
   std::vector<UpstreamState>& upstreams() { return upstreams_; }
--- a/test/answer_end_test.cc
+++ b/test/answer_end_test.cc
@@ -21,7 +21,8 @@
 
 namespace {
 
-// Action of a scripted peer on its connection after its last piece.
+// What a scripted server does with its connection after it has sent its last
+// piece.
 enum class Ending { kStay, kClose, kReset };
 
 // A server that answers the first bytes it receives with `pieces`, one at a
@@ -73,7 +74,7 @@
   TcpListener listener_;
 };
 
-// Result of a call as seen by the caller of a link.
+// Result of a call as reported by the callbacks of the link.
 struct CallResult {
   bool ended = false;
   CallEnd end = CallEnd::kNotSent;
@@ -217,9 +218,9 @@
 }
 
 // Guards against relaying an abandoned stream as complete. The agent sends the
-// head and one event, then gives up the stream with RST_STREAM and NO_ERROR
-// instead of END_STREAM. NO_ERROR tells why the stream was reset, not that the
-// answer was complete.
+// head and one event, then abandons the stream with RST_STREAM and the code
+// NO_ERROR instead of END_STREAM. NO_ERROR does not mean that the answer is
+// complete.
 TEST(answer_end, ResetWithNoErrorIsNotTheEnd) {
   const std::string reset = Frame(3, 0, 1, std::string(4, '\0'));
   CallResult result =
@@ -228,12 +229,11 @@
   CHECK_TRUE(result.end == CallEnd::kInterrupted);
 }
 
-// Guards against relaying a stream as complete that the engine did not finish.
-// The engine answers without a length, the first piece that the agent reads
-// ends inside "data:", and the engine closes its connection before "[DONE]". An
-// agent that recognizes streams only by their first five bytes would take this
-// stream for a plain answer. A plain answer without a length is complete when
-// its connection closes.
+// Guards against relaying an unfinished stream as complete. The engine answers
+// without a length, the first piece that the agent reads ends inside "data:",
+// and the engine closes the connection before "[DONE]". An agent that
+// recognizes streams only by "data:" at the start of the first piece would take
+// this stream for a plain answer, which ends when its connection closes.
 TEST(answer_end, StreamWithAShortFirstPieceIsRecognized) {
   BootClock clock;
   int base = ClaimPortRange();
@@ -266,9 +266,9 @@
 }
 
 // Guards against an engine that continues a prefill after the caller has
-// disconnected. The call is cancelled before the engine has answered a byte.
-// The connection of a cancelled call must not stay open until the engine's next
-// byte or the timeout of 30 s.
+// disconnected. The call is cancelled before the engine has sent a byte. The
+// link must then close the connection at once, not at the engine's next byte or
+// after the timeout of 30 s.
 TEST(answer_end, CancelledCallIsClosedAtOnce) {
   ScriptedServer peer(loop, {}, Ending::kStay);
   HttpClient client(loop);
--- a/test/descriptors_test.cc
+++ b/test/descriptors_test.cc
@@ -109,8 +109,8 @@
 }
 
 // Guards against a busy loop when no descriptor is left for a waiting caller.
-// The listening socket stays readable, so the loop would spin and take CPU time
-// from the requests that free descriptors when they end.
+// The listening socket stays readable, so an event loop that keeps watching it
+// would spin and slow down the requests whose end frees descriptors.
 TEST(descriptors, ListenerWithoutDescriptorsDoesNotSpin) {
   int port = ClaimPortRange();
   int accepted = 0;
@@ -127,7 +127,7 @@
   {
     DescriptorBlocker blocker;
     unsigned first_iteration = ev_iteration(loop);
-    Run(Millis(500));  // 250 iterations are those of the timer of Run.
+    Run(Millis(500));  // The timer of Run alone causes 250 iterations.
     iterations = ev_iteration(loop) - first_iteration;
   }
   CHECK_TRUE(iterations < 350);
--- a/test/ledger_test.cc
+++ b/test/ledger_test.cc
@@ -30,8 +30,8 @@
 
 TEST_GROUP(ledger) { std::string path = TempLedgerPath(); };
 
-// Failure: a ticket is billed twice because the caller loses the answer and
-// resends with the same key. The resend must get the stored answer, without a
+// Guards against billing a ticket twice. The caller loses the answer and
+// resends with the same key; the resend must get the stored answer, without a
 // second call to the service.
 TEST(ledger, ResendGetsStoredAnswer) {
   Ledger l(path);
@@ -45,10 +45,10 @@
   CHECK(BeginRequest(l, "t-1", 8) == LedgerKeyState::kKeyReused);
 }
 
-// Failure: a ticket is billed twice because the ledger is only in memory. The
-// agent is killed before the answer and restarted, and the caller resends.
-// After the restart, a request whose key was started may have run and must not
-// run again. A resend with a completed key must get the stored answer.
+// Guards against a ledger that is kept only in memory, so that a ticket is
+// billed twice. The agent is killed before the answer and restarted, then the
+// caller resends. A request with a started key may have run and must not run
+// again, and a resend with a completed key must get the stored answer.
 TEST(ledger, RestartKeepsStartedAndDoneKeys) {
   {
     Ledger l(path);
@@ -71,10 +71,9 @@
   CHECK(BeginRequest(l, "k", 1) == LedgerKeyState::kNew);
 }
 
-// Failure: the ledger does not open after a power loss during an append,
-// because the last line is incomplete. The incomplete line was never synced, so
-// no request depends on it. It must be dropped, and the other records must be
-// kept.
+// Guards against a ledger that does not open after a power loss. The power
+// fails during an append, which leaves an incomplete last line that no request
+// depends on. The line must be dropped and all other records kept.
 TEST(ledger, IncompleteLastLineIsDropped) {
   {
     Ledger l(path);
@@ -109,8 +108,9 @@
   CHECK(l.size() > 0);
 }
 
-// Failure: the agent terminates at its start. A record in the ledger file has a
-// value of the wrong type, for which the JSON library throws an exception.
+// Guards against an agent that terminates at startup. A record in the ledger
+// file has a value of the wrong type, for which the JSON library throws an
+// exception.
 TEST(ledger, RecordWithWrongValueTypeIsDataLoss) {
   std::ofstream(path) << "{\"k\":1,\"op\":\"start\"}\n"
                       << "{\"k\":\"a\",\"op\":\"start\",\"fp\":1}\n";
--- a/test/path_test.cc
+++ b/test/path_test.cc
@@ -1,7 +1,6 @@
-// Tests of real processes on 127.0.0.1. Answers are complete. "not run" is
-// reported only when true. A request with a key runs at most once across
-// resends and restarts. Planned stops interrupt no stream. Silent connections
-// are replaced.
+// Tests of entries, agents, engines and services that run as separate processes
+// on 127.0.0.1. The tests kill, stop or freeze processes and check which
+// answers callers get.
 #include <curl/curl.h>
 #include <signal.h>
 #include <sys/stat.h>
@@ -154,13 +153,13 @@
 
 TEST_GROUP(path){};
 
-// Failure: a crash-inducing request terminates one engine after another,
-// because its caller resends it and no process remembers the crashes. The test
-// kills the only engine during the prefill of each of the first three sends.
-// The fourth send must be rejected as not run, and another request must be
-// served.
+// Guards against a crash-inducing request that terminates one engine after
+// another when its caller resends it. The only engine is killed during the
+// prefill of the first three sends. The fourth send must be rejected as not
+// run, and another request must be served.
 TEST(path, CrashInducingRequestIsQuarantined) {
-  // Step time that is long enough to kill the engine before it sends a token.
+  // Step time long enough that the test can kill the engine before it sends a
+  // token.
   constexpr int kStepMs = 1000;
   Fleet f(KeepOnlyUpstreams({"ledgerhand-1"}));
   f.StartEngine(1, kStepMs);
@@ -198,9 +197,9 @@
   CHECK_TRUE(served);
 }
 
-// Failure: under many concurrent streams through two hops, a caller gets
-// another caller's answer or a truncated answer that looks complete. Each
-// answer is checked for its own nonce, its full token count and the end marker.
+// Guards against answers that reach the wrong caller or end early. Many streams
+// run at the same time through entry and agent. Each answer must contain the
+// nonce of its request, all tokens and the end marker.
 TEST(path, ConcurrentAnswersAreCompleteAndNotMixedUp) {
   Fleet f;
   for (int i = 1; i <= 3; ++i) f.StartEngine(i);
@@ -228,9 +227,9 @@
   CHECK_EQUAL(0LL, r.wasted_tokens);
 }
 
-// Failure: a caller takes a truncated answer for a complete one. An engine is
-// killed mid-stream, and the entry relays the end of the broken stream as a
-// normal end. The entry must abort the caller's connection instead.
+// Guards against a truncated answer that looks complete to the caller. An
+// engine is killed in the middle of a stream. The entry must then abort the
+// caller's connection instead of ending the answer normally.
 TEST(path, EngineKilledMidStreamAbortsCallerConnection) {
   Fleet f(KeepOnlyUpstreams({"ledgerhand-1"}));
   f.StartEngine(1, 50);
@@ -246,10 +245,10 @@
   CHECK(r.curl_code != 0);  // The caller sees that the answer is not complete.
 }
 
-// Failure: a ticket is billed twice because the caller gets "not run" and
-// resends. The agent is killed while the service executes the call. "not run"
-// may be reported only if no connection was made; in this case the answer must
-// be "outcome unknown".
+// Guards against billing a ticket twice because the caller gets "not run" and
+// resends. The agent is killed while the service executes the call, so the
+// answer must be "outcome unknown". The answer is "not run" only if no
+// connection was made.
 TEST(path, NotRunIsReportedOnlyIfNeverSent) {
   Fleet f(KeepOnlyUpstreams({"scalehouse-1"}));
   f.StartAgent(4);
@@ -273,9 +272,10 @@
   // The service is killed during a call while the agent keeps running. The
   // agent must not report "not run" for this failure.
   f.StartAgent(4);
-  // The entry backs off from an agent that was just killed. The request is
-  // retried, a bounded number of times, until a call passes through the new
-  // agent, so that the service below is killed during a call.
+  // After an agent was killed, the entry sends nothing to it until a backoff is
+  // over. The test therefore repeats the request, a bounded number of times,
+  // until a call passes through the new agent. Only then does it kill the
+  // service, during the next call.
   HttpReply warm;
   for (int i = 0; i < 20 && warm.status != 200; ++i) {
     warm = Post(f.EntryUrl() + "/v1/services/scalehouse-1/bill",
@@ -293,11 +293,10 @@
   CHECK_EQUAL(502, cut.status);
 }
 
-// Failure: a non-repeatable request runs twice because its key is not recorded
-// durably. In the first case, the caller loses the answer and resends. In the
-// second case, the agent is killed during the call and restarted with its data
-// directory before the caller resends. Each resend must get the stored answer
-// or "outcome unknown".
+// Guards against running a non-repeatable request twice because its key is not
+// recorded durably. The caller resends a request after it has lost the answer,
+// and another one after the agent was killed during the call and restarted.
+// Each resend must get the stored answer or "outcome unknown".
 TEST(path, NonRepeatableRequestRunsOnceAcrossResendAndRestart) {
   Fleet f(KeepOnlyUpstreams({"scalehouse-1"}));
   f.StartService(600);
@@ -323,10 +322,9 @@
   CHECK_EQUAL(2, CountExecutions(f));  // Tickets A and B ran once each.
 }
 
-// Failure: agents that get SIGTERM during a long stream exit at once and
-// interrupt the stream, or they continue to get new requests. Agents must
-// drain: the stream completes, new requests are rejected, and the agents then
-// exit by themselves.
+// Guards against planned stops that interrupt streams. Agents get SIGTERM
+// during a long stream. The stream must complete, new requests must be
+// rejected, and then the agents must exit by themselves.
 TEST(path, PlannedStopFinishesStreamsAndRejectsNewRequests) {
   Fleet f(KeepOnlyUpstreams({"ledgerhand-1", "ledgerhand-2"}));
   f.StartTwoEnginesAndEntry(40);
@@ -349,10 +347,10 @@
   CHECK_FALSE(after.headers["retry-after"].empty());
 }
 
-// Failure: requests hang on a silent connection. The agent that carries a
-// stream is frozen (SIGSTOP), which TCP does not detect as an error. The
-// entry's PING must time out, the caller's connection must be aborted, and new
-// requests must go to the other agent.
+// Guards against requests that hang on a silent connection. The agent that
+// carries a stream is frozen (SIGSTOP), which TCP does not report as an error.
+// The entry's PING must time out, the caller's connection must be aborted, and
+// new requests must go to the other agent.
 TEST(path, FrozenAgentIsDetectedAndAvoided) {
   Fleet f(KeepOnlyUpstreams({"ledgerhand-1", "ledgerhand-2"}));
   f.StartTwoEnginesAndEntry(30);
--- a/test/procs.cc
+++ b/test/procs.cc
@@ -149,7 +149,7 @@
     a.sin_family = AF_INET;
     a.sin_port = htons(static_cast<uint16_t>(base_port + kPortsPerRange - 1));
     inet_pton(AF_INET, "127.0.0.1", &a.sin_addr);
-    // The socket listens until this process ends and so marks the range as
+    // This socket listens until the process ends, which marks the port range as
     // taken. Two test processes with the same ports would reach each other's
     // servers.
     if (bind(fd, reinterpret_cast<sockaddr*>(&a), sizeof(a)) == 0 &&
--- a/test/upstream_pool_test.cc
+++ b/test/upstream_pool_test.cc
@@ -1,4 +1,5 @@
-// State that an entry process keeps of an upstream across list updates.
+// Tests of which state of an upstream an entry process keeps when it applies a
+// new upstream list.
 #include "upstream_pool.h"
 
 #include "CppUTest/TestHarness.h"
@@ -17,7 +18,7 @@
   bool sent() const override { return false; }
   void SetReadPaused(bool) override {}
   TimePoint idle_since() const override { return BootClock().Now(); }
-  Duration keep_for() const override { return std::chrono::seconds(4); }
+  Duration max_idle_time() const override { return std::chrono::seconds(4); }
 
  private:
   bool open_ = true;
@@ -55,11 +56,11 @@
   }
 };
 
-// Guards against stale state of a restarted upstream. With that state it would
-// get no requests, or count as holding prompts that it has lost. The upstream
-// restarts under its old id while its state marks it as terminated, loaded and
-// connected. Another incarnation has answered at its address. State kept by id
-// alone would survive the restart.
+// Guards against keeping the old state of a restarted upstream, which would
+// then get no requests or count as caching prompts that it has lost. The
+// upstream restarts under its old id while its state marks it as terminated,
+// loaded and connected; another incarnation of it has answered at its address.
+// State that is kept by id alone would survive the restart.
 TEST(upstream_pool, RestartResetsTheState) {
   UpdateList(Engine(1000));
   std::shared_ptr<UpstreamLink> link = SetFailedState();
