--- a/src/duty/group_time.h
+++ b/src/duty/group_time.h
@@ -39,10 +39,10 @@
   // showed `unix_ms` at `now`.
   void RecordSample(const std::string& from, int64_t unix_ms, TimePoint now);
   // Records the group's time, received at `now` from the process that this one
-  // follows. UnixMsAt() prefers received times to samples, unless the latest
-  // sample was recorded more than kReceivedTrust after the latest received
-  // time. That is the case once this process has become the leader and receives
-  // no more times.
+  // follows. UnixMsAt() prefers received times to samples. A process that has
+  // become the leader receives no more times: once its latest sample was
+  // recorded more than kReceivedTrust after the latest received time,
+  // UnixMsAt() uses the samples.
   void RecordReceivedTime(int64_t unix_ms, TimePoint now);
   // Returns the group's time at `at`, in milliseconds since the Unix epoch;
   // nullopt before any time was recorded.
--- a/src/duty/usage_schedule.h
+++ b/src/duty/usage_schedule.h
@@ -24,10 +24,11 @@
 struct UsagePolicy {
   Duration window{};  // Length of a window; 0: usage is not reported.
   Duration due{};  // Deadline of a report, counted from the end of its window.
-  // A window is committed when this share of `due` has passed since the end of
-  // the window. That is late enough for delayed counts of entries to arrive,
-  // and early enough for a new leader, which has to wait before it may send the
-  // report. Until the commit, the counts exist only in the memory of processes.
+  // The counts of a window are committed when this share of `due` has passed
+  // since the end of the window. That is late enough for delayed counts of
+  // entries to arrive, and early enough for a new leader, which has to wait
+  // before it may send the report. Until the commit, the counts exist only in
+  // the memory of processes.
   double commit_delay_share = 0.25;
   // Maximum number of past windows that are still reported after an outage of
   // the group.
@@ -45,10 +46,9 @@
                           const UsagePolicy& policy);
 
 // Returns the window whose counts are to be committed now, if any. All windows
-// from the first window with counts on are committed, without gaps, because the
-// receiver could not distinguish a skipped report from a lost one. The
-// exception is windows older than the last `max_windows_behind`: they are
-// skipped.
+// from the first window with counts on are committed, except that windows older
+// than the last `max_windows_behind` are skipped. There are no other gaps,
+// because the receiver could not distinguish a skipped report from a lost one.
 std::optional<int64_t> WindowToCommit(const DutyLog::Subject& subject,
                                       const UsageTable& table, int64_t unix_ms,
                                       const UsagePolicy& policy);
@@ -73,8 +73,8 @@
   // Records that sending the report of `window` failed, and schedules a retry.
   void RecordFailed(int64_t window, TimePoint now);
   // Forgets all deliveries. Called when the term changes: another leader may
-  // have sent reports in the meantime, and the log shows which reports it found
-  // accepted.
+  // have sent reports in the meantime, and the duty log shows which of them
+  // were accepted.
   void ClearDeliveries();
   // Returns the window up to which all reports are accepted, according to the
   // log and to the deliveries recorded here.
--- a/src/duty/usage_table.h
+++ b/src/duty/usage_table.h
@@ -108,8 +108,8 @@
   Duration interval_;
   std::string target_;
   std::optional<TimePoint> last_report_at_;
-  uint64_t sent_ = 0;       // Sequence number that the last report covers.
-  uint64_t confirmed_ = 0;  // Sequence number that the target has confirmed.
+  uint64_t sent_ = 0;       // Sequence number of the last reported change.
+  uint64_t confirmed_ = 0;  // Sequence number of the last confirmed change.
 };
 
 }  // namespace medlarwalk
--- a/src/policy/placement.cc
+++ b/src/policy/placement.cc
@@ -27,9 +27,9 @@
 // A measured pace (seconds per event) below this share of the known pace is
 // ignored: the events were delayed on their way and arrived together.
 constexpr double kBunchedEventsShare = 0.5;
-// Minimum number of known paces for engines to be marked as slow, and the
-// divisor that selects the reference pace: the quantile 1 /
-// kFastQuantileDivisor of all paces.
+// Engines are marked as slow only if the paces of at least kMinKnownPaces
+// engines of their service are known. They are compared with the
+// 1 / kFastQuantileDivisor quantile of these paces.
 constexpr size_t kMinKnownPaces = 4;
 constexpr size_t kFastQuantileDivisor = 4;
 // Upper bound of a recorded event gap, in shares of its target. The bound
@@ -161,11 +161,12 @@
                                     : policy.preferred_engines);
 }
 
-// Keeps only the preferred engines of a prefix, which every entry process
-// computes identically without communication. Each further engine would prefill
-// the prefix again, which evicts other prefixes from its cache. Each engine's
-// hash is computed once beforehand: a sort that computes the hashes of 3,000
-// engines in its comparisons takes 1.2 ms of CPU time per request.
+// Keeps only the first `count` preferred engines of a prefix: each further
+// engine would prefill the prefix again, which evicts other prefixes from its
+// cache. Every entry process computes the same engines without communication.
+// Each engine's hash is computed once beforehand: a sort that computes the
+// hashes of 3,000 engines in its comparisons takes 1.2 ms of CPU time per
+// request.
 void KeepPreferredEngines(size_t count, std::vector<Candidate>* candidates) {
   if (count >= candidates->size()) return;
   auto end = candidates->begin() + static_cast<std::ptrdiff_t>(count);
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -25,8 +25,8 @@
   // Whether the upstream is in the newest upstream list. An unlisted upstream
   // only finishes its running requests.
   bool listed = true;
-  // The upstream has announced that it is draining. This holds even if the list
-  // does not show it.
+  // The upstream has announced that it is draining, whether or not the list
+  // shows it.
   bool announced_draining = false;
   // Another incarnation answers at the address of this upstream, so this
   // incarnation has terminated, even if it is still listed.
@@ -98,9 +98,9 @@
 
 // Parameters of placement.
 struct PlacementPolicy {
-  // Age at which a load report is ignored. The weight of a report falls with
-  // its age; the remaining weight is given to the number of this process's own
-  // requests.
+  // Maximum age of a load report; older reports are ignored. The weight of a
+  // report falls to 0 at this age; the remaining weight is given to the number
+  // of this process's own requests.
   Duration report_lifetime = std::chrono::seconds(2);
   // An upstream that holds the prompt's prefix is chosen while its load exceeds
   // that of the least loaded upstream by at most this share of slots. A
@@ -112,9 +112,9 @@
   // Number of preferred engines of one prefix. The second engine serves
   // requests while the first is saturated.
   int preferred_engines = 2;
-  // Number of preferred engines of one prefix while less than hot_busy_share of
-  // the engines is saturated: the prefix is in high demand, but the service as
-  // a whole is not overloaded.
+  // While less than hot_busy_share of the engines is saturated, a prefix has
+  // this many preferred engines instead. A prefix in high demand may then
+  // spread to more engines, because the service as a whole is not overloaded.
   int hot_preferred_engines = 4;
   double hot_busy_share = 0.34;
   // A request is a long generation if its expected output is at least this
@@ -166,8 +166,8 @@
   Duration first_ejection = Millis(500);
   Duration max_ejection = Millis(4000);
   int failures_to_eject = 2;
-  // A process sends an engine no further long generation once it uses this
-  // share of its part of the engine's slots; 0: no limit. After a loss of
+  // A process sends an engine no further long generation once the process uses
+  // this share of its part of the engine's slots; 0: no limit. After a loss of
   // engines, the requests of all processes move to the few remaining engines
   // before any load report shows it, and an engine preempts requests beyond its
   // slots.
@@ -190,8 +190,8 @@
   // for the top tier. Without it, long requests of lower tiers can occupy every
   // slot for seconds.
   double reserved_top_tier_share = 0;
-  // Placement only chooses the first upstream below its load limit. Used as the
-  // baseline of comparisons.
+  // If true, placement takes the first upstream below its load limit and
+  // compares no scores. Used as the baseline of comparisons.
   bool first_available = false;
   // An upstream is a straggler if its event gap exceeds the median event gap of
   // its service by this factor. A straggler gets requests only when no other
--- a/src/policy/prefill_limiter.h
+++ b/src/policy/prefill_limiter.h
@@ -26,9 +26,9 @@
   double min_limit = 2;
   double max_limit = 512;  // Upper bound of the limit, in prompts.
   // A first event is late if it took more than this share of its latency
-  // target. An engine that always has a prompt to prefill adds a chunk of it to
-  // every decoding step. Each token then takes ten times as long, and streams
-  // exceed their deadline.
+  // target. With a larger share, prompts queue and the engine always has one to
+  // prefill: it then adds a chunk of it to every decoding step, each token
+  // takes ten times as long, and streams exceed their deadline.
   double late_share = 0.3;
   // Factor by which each late first event multiplies the limit.
   double backoff_factor = 0.97;
--- a/src/policy/quarantine.cc
+++ b/src/policy/quarantine.cc
@@ -89,7 +89,8 @@
                      std::make_pair(a.uncleared.size(), b.record->fingerprint);
             });
   std::vector<RequestFingerprint> out;
-  // Upstreams whose crash is explained by an earlier request in `out`.
+  // Upstreams whose crash is attributed to a crash-inducing request that was
+  // found before the current candidate.
   std::set<uint64_t> explained;
   for (const Candidate& candidate : candidates) {
     std::vector<Crash> unexplained;
@@ -98,12 +99,13 @@
     }
     int n = CountSeparateCrashes(unexplained, policy);
     if (n < policy.min_crashes) continue;
-    // The unexplained crashes at which the request had just started.
+    // Of the crashes not attributed to another request, those at which the
+    // candidate had just started.
     std::vector<Crash> crashes_at_start;
     std::copy_if(unexplained.begin(), unexplained.end(),
                  std::back_inserter(crashes_at_start),
                  [](const Crash& c) { return c.just_started; });
-    // Whether another request was in flight at all unexplained crashes.
+    // Whether another candidate was in flight at all crashes in `unexplained`.
     bool inseparable = std::any_of(
         candidates.begin(), candidates.end(), [&](const Candidate& other) {
           return other.record != candidate.record &&
--- a/src/policy/quarantine.h
+++ b/src/policy/quarantine.h
@@ -33,7 +33,8 @@
   uint64_t upstream = 0;  // Hash of the upstream's id.
   TimePoint sent_at{};    // When the request was sent to the upstream.
   TimePoint at{};         // When the upstream terminated.
-  // The request had just started on the upstream, as far as known.
+  // Whether the request had just started on the upstream when the upstream
+  // terminated, as far as known.
   bool just_started = false;
   // The request did not cause this crash. Either it was served later, or
   // another upstream that did not have the request terminated at the same
@@ -56,10 +57,10 @@
   // The cause is also ambiguous if the request had not just started at each
   // crash, as most co-located requests had not.
   int min_crashes_if_ambiguous = 5;
-  // Tolerance for the difference between clocks in the following rule. A crash
-  // counts separately only if the request was sent to that upstream after the
-  // previous crash: a power loss terminates many upstreams at once, whatever
-  // they run.
+  // A crash counts separately only if the request was sent to that upstream
+  // after the previous crash: a power loss terminates many upstreams at once,
+  // whatever they run. This tolerance allows for the difference between the
+  // clocks that recorded these times.
   Duration clock_tolerance = Millis(5);
   // Terminations closer together than this have a common cause. A request that
   // was moved away from the first upstream after its termination may still have
--- a/src/policy/rate_limit_table.cc
+++ b/src/policy/rate_limit_table.cc
@@ -44,7 +44,8 @@
     if (entries_.size() >= kMaxEntries) return;
     it = entries_.try_emplace(r.upstream).first;
   } else if (it->second.record.per_s == r.per_s) {
-    // The same rate limit, received through another process.
+    // The same rate limit, received through another process, is not a change.
+    // Only the earlier start of the limit is kept.
     it->second.record.since = std::min(it->second.record.since, r.since);
     return;
   } else if (it->second.record.at >= r.at) {
--- a/src/policy/report_tracker.h
+++ b/src/policy/report_tracker.h
@@ -42,8 +42,8 @@
 
   const Source& source_;
   std::string target_;
-  uint64_t sent_ = 0;       // Sequence number that the last report covers.
-  uint64_t confirmed_ = 0;  // Sequence number that the target has confirmed.
+  uint64_t sent_ = 0;       // Sequence number of the last reported change.
+  uint64_t confirmed_ = 0;  // Sequence number of the last confirmed change.
 };
 
 }  // namespace medlarwalk
--- a/src/policy/retry_budget.h
+++ b/src/policy/retry_budget.h
@@ -52,7 +52,8 @@
   }
 
  private:
-  // Maximum number of first attempts whose earned retries are saved up.
+  // Unused retries are saved only up to the capacity of the bucket plus `ratio`
+  // times this number of first attempts.
   static constexpr double kMaxSavedAttempts = 20;
   double tokens_ = 0;
   bool initialized_ = false;
--- a/src/policy/routing_config.h
+++ b/src/policy/routing_config.h
@@ -50,7 +50,7 @@
 
 // Limits of the model engines of a service.
 struct EngineLimits {
-  int slots = 1;  // Number of requests that run at the same time.
+  int slots = 1;  // Requests that an engine runs at the same time.
 };
 
 struct ServiceRule {
--- a/src/policy/send_slots.cc
+++ b/src/policy/send_slots.cc
@@ -24,7 +24,8 @@
                                        std::optional<Millis> taken) {
   double per_s = std::max(kMinPerS, query.per_s);
   int process_count = std::max(1, query.process.process_count);
-  // Slot 0 belongs to a different process for each upstream.
+  // Rotates the processes by a hash of the upstream, so that slot 0 of
+  // different upstreams belongs to different processes.
   auto offset = static_cast<int>(StableHash(query.upstream) %
                                  static_cast<uint64_t>(process_count));
   int index = (query.process.index + offset) % process_count;
@@ -33,8 +34,8 @@
   // `taken` is ignored: otherwise no slot would open until the clock catches
   // up.
   if (taken && *taken - query.time < kOpenTime) after = std::max(after, *taken);
-  // Adds half a millisecond because slots begin at whole milliseconds: the
-  // slot that begins at `after` must be excluded.
+  // Adding half a millisecond excludes the slot that begins at `after`, because
+  // slots begin at whole milliseconds.
   double slots_before =
       (static_cast<double>(after.count()) + 0.5) / 1000.0 * per_s;
   double cycle = std::floor((slots_before - index) / process_count) + 1;
--- a/src/policy/tier_admission.h
+++ b/src/policy/tier_admission.h
@@ -17,9 +17,9 @@
 
 // Parameters of tier admission.
 struct TierAdmissionPolicy {
-  // A tier counts as rejected while its rejected share, the smoothed share of
-  // its requests that find no slot, is at least this. A single rejection blocks
-  // other tiers only briefly.
+  // While the rejected share of a tier is at least this, all less urgent tiers
+  // wait. The rejected share is the smoothed share of the tier's requests that
+  // find no slot. A single rejection blocks other tiers only briefly.
   double min_rejected_share = 0.02;
   // The rejected share is smoothed over smoothing_requests requests of the
   // tier, so that entries with few and with many requests per second decide
@@ -27,7 +27,8 @@
   // tier gets no more requests.
   double smoothing_requests = 30;
   double decay_s = 1.5;
-  // Upper bound of the rejected share. With this bound, blocked tiers continue
+  // Upper bound of the rejected share. The bound limits the time until the
+  // share has decayed below min_rejected_share, so that blocked tiers continue
   // within three seconds after the last rejection.
   double max_rejected_share = 0.12;
 };
@@ -47,8 +48,8 @@
   }
   // Returns whether a request of `tier` may start.
   bool MayStart(Tier tier, TimePoint now) const;
-  // Returns whether any tier counts as rejected, and sets `*tier` to the most
-  // urgent one.
+  // Returns whether the rejected share of any tier is at least
+  // min_rejected_share. If so, sets `*tier` to the most urgent such tier.
   bool MostUrgentRejectedTier(TimePoint now, Tier* tier) const;
 
  private:
--- a/src/policy/upstream_list.cc
+++ b/src/policy/upstream_list.cc
@@ -140,7 +140,8 @@
 void ListHistory::RecordChange(const ListChange& change) {
   encoded_.clear();
   if (change.from == 0) {
-    // The list was received in full, so the kept changes do not lead to it.
+    // The kept changes do not lead to a list that was received in full, so they
+    // are dropped.
     steps_.clear();
     step_entries_ = 0;
     return;
--- a/src/policy/upstream_list.h
+++ b/src/policy/upstream_list.h
@@ -104,8 +104,9 @@
  public:
   using Encode = std::function<Document(const ListChange&)>;
 
-  // `max_entries`: changes of up to this number of upstreams are kept, or of
-  // half of the list if that is more. `encode`: encodes a change for sending.
+  // `max_entries`: the most recent changes are kept as long as they contain at
+  // most this number of upstreams in total, or half of the list if that is
+  // more. `encode`: encodes a change for sending.
   ListHistory(size_t max_entries, Encode encode)
       : max_entries_(max_entries), encode_(std::move(encode)) {}
 
--- a/src/policy/waiting_queue.h
+++ b/src/policy/waiting_queue.h
@@ -29,8 +29,8 @@
   // If true, serves the most urgent tier first; if false, serves requests in
   // order of arrival.
   bool tier_order = true;
-  // Rejects a request on arrival if the recent rate of dispatches shows that it
-  // would not get a slot in time.
+  // If true, rejects a request on arrival when the recent rate of dispatches
+  // shows that it would not get a slot in time.
   bool reject_unmeetable = false;
   // A request starves once it has waited for starvation_bound or for
   // starving_share of its maximum wait. While any request starves, one slot in
--- a/test/duty/duty_test.cc
+++ b/test/duty/duty_test.cc
@@ -47,7 +47,9 @@
   LONGS_EQUAL(7, s.committed_through);
   LONGS_EQUAL(1, static_cast<long>(s.open.size()));
   STRCMP_EQUAL("a", s.open.at(7)->c_str());
-  // Accepted contents are removed; the contents of other subjects stay.
+  // Call 8 is recorded with the statement that calls up to 7 were accepted: the
+  // content of call 7 must be removed, and the contents of other subjects must
+  // stay.
   log.Apply({"scale", 1, Content("x"), 0});
   log.Apply({"usage", 8, Content("d"), 7});
   LONGS_EQUAL(1, static_cast<long>(log.FindSubject("usage").open.size()));
@@ -452,7 +454,7 @@
     g.no_faults = true;
     for (int step = 0; step < 30 * 50; ++step) g.Step();
     for (const std::string& b : g.checker.violations()) FAIL(b.c_str());
-    // Checks all windows whose reports are due.
+    // Every window whose report is due must have been reported.
     int64_t now = g.CurrentWindow();
     for (int64_t w = g.first(); w <= now - 3; ++w) {
       if (!g.checker.accepted_reports().count(w)) {
--- a/test/policy/limit_policy_test.cc
+++ b/test/policy/limit_policy_test.cc
@@ -117,7 +117,8 @@
   DOUBLES_EQUAL(2.0, *table.Find("a")->per_s, 0);
   table.MergePublished({MakeRecord("a", std::nullopt, 200, 0)});
   CHECK_TRUE(table.Find("a") == nullptr);
-  // A record with an earlier time arrives, through another process.
+  // A record with an earlier time that arrives late, through another process,
+  // must not restore the lifted limit.
   table.MergePublished({MakeRecord("a", 2.0, 150, 0)});
   CHECK_TRUE(table.Find("a") == nullptr);
 }
--- a/test/policy/placement_test.cc
+++ b/test/policy/placement_test.cc
@@ -391,10 +391,10 @@
       ChooseUpstream(upstreams, request, kNow, 0.3, kPolicy).has_value());
 }
 
-// Guards against the prefill of a shared prefix that another engine holds. The
-// first preferred engine is saturated and a request goes to the second. The
-// engine to copy from must be the other preferred engine of the prefix, never
-// the engine that gets the request.
+// Guards against the prefill of a shared prefix that could be copied from
+// another engine. When the first preferred engine is saturated, a request goes
+// to the second. The engine to copy from must then be the other preferred
+// engine of the prefix, never the engine that gets the request.
 TEST(placement, CopySourceIsTheOtherPreferredEngine) {
   std::vector<UpstreamState> upstreams = Engines(12);
   for (uint64_t subject = 1; subject <= 50; ++subject) {
@@ -417,8 +417,8 @@
 // Guards against long prompts and long generations that mix on all engines
 // while an engine is replaced. The engine listed last starts to drain and
 // leaves the order of the service's upstreams. The number of engines must count
-// all engines that are not draining; taken from the last listed upstream, it
-// would be 0.
+// all engines that are not draining; a number taken from the last listed
+// upstream would be 0.
 TEST(placement, DrainingEngineDoesNotChangeRankedCount) {
   std::vector<UpstreamState> upstreams = Engines(9);
   LONGS_EQUAL(9, CountRankedUpstreams(upstreams, "engine"));
@@ -478,7 +478,8 @@
   MarkSlowDecoders(absl::MakeSpan(upstreams), kPolicy);
   CHECK_FALSE(upstreams[1].slow_decode);
   for (UpstreamState& u : upstreams) u.decode_pace_s = 0.030;
-  // After a suspension an entry receives all delayed events together.
+  // After a suspension an entry receives all delayed events together. Their
+  // short gaps must not make other engines look slow.
   for (int i = 0; i < 6; ++i)
     RecordDecodePace(upstreams[static_cast<size_t>(i)], Millis(1));
   MarkSlowDecoders(absl::MakeSpan(upstreams), kPolicy);
--- a/test/policy/prefill_limiter_test.cc
+++ b/test/policy/prefill_limiter_test.cc
@@ -91,6 +91,6 @@
     total_latency += took;
     ++prefilled;
   }
-  CHECK_TRUE(prefilled > 285);  // At most 300 prefills fit in that time.
+  CHECK_TRUE(prefilled > 285);  // The engine prefills at most 300 in 30 s.
   CHECK_TRUE(total_latency / prefilled < kTarget * 35 / 100);
 }
--- a/test/policy/upstream_list_test.cc
+++ b/test/policy/upstream_list_test.cc
@@ -159,8 +159,8 @@
       }
     }
     for (int f = 0; f < 2; ++f) {
-      // No messages are lost from here on: one request suffices, plus one for
-      // the full list if the first answer does not apply.
+      // No messages are lost from here on: a single answer must bring the
+      // follower to the newest list.
       if (follower[f].version() != source[0].version()) {
         deliver(f, source[0].EncodedChangeSince(follower[f].version()));
       }
@@ -193,7 +193,7 @@
   bad[2].changed[0].address.port = 9;
   bad[3].removed_ids.clear();
   bad[4].changed.push_back(bad[4].changed[0]);
-  bad[5].from = 0;  // The difference claims to be the full list.
+  bad[5].from = 0;  // Must be rejected although it claims to be the full list.
   for (const ListChange& c : bad) {
     CHECK_FALSE(follower_list.Apply(c));
     CHECK_EQUAL(base, follower_list.version());
