--- a/src/agent.cc
+++ b/src/agent.cc
@@ -187,8 +187,8 @@
   const LedgerEntry* entry = nullptr;
   absl::Status s = ledger_.BeginRequest(key, fingerprint, &key_state, &entry);
   if (!s.ok()) {
-    // A request whose start is not recorded is not sent, so it is safe to
-    // report that it did not run.
+    // A request is not sent if the ledger cannot record its start, so it is
+    // safe to report that it did not run.
     LogWarn("ledger_failed",
             {{"key", key}, {"error", std::string(s.message())}});
     RespondWithError(*out, ErrorKind::kNotRun, "ledger unavailable");
@@ -245,9 +245,9 @@
   call.on_data = [forwarded](absl::string_view data) {
     if (!forwarded->relaying) {
       forwarded->relaying = true;
-      // Detects the streams of engines that do not send a content type. If the
-      // content type says that the answer is a stream, it is one even if the
-      // first chunk is shorter than "data:".
+      // If the engine sends no content type, a stream is recognized by "data:"
+      // at its start. If the content type says that the answer is a stream,
+      // this holds even if the first chunk is shorter than "data:".
       forwarded->event_stream |= absl::StartsWith(data, "data:");
       forwarded->out->StartStream(
           forwarded->status,
@@ -305,10 +305,9 @@
   }
 }
 
-// Answers a call that was interrupted. Checks first whether the upstream
-// process has terminated. If so, the answer carries the id of this termination.
-// From equal ids, entries recognize the requests that the same process was
-// running.
+// Answers an interrupted call after checking whether the upstream process has
+// terminated. If it has, the answer carries the id of this termination. Entries
+// use the id to recognize all requests that the terminated process was running.
 void Agent::AnswerInterruptedCall(const std::string& upstream,
                                   const ForwardedCall& interrupted_call,
                                   std::string reason, int checks_left) {
@@ -319,9 +318,9 @@
   check.timeout = check.connect_timeout = kLivenessCheckTimeout;
   check.on_done = [this, upstream, interrupted_call, reason = std::move(reason),
                    checks_left](const HttpCallResult& r) {
-    // A killed process closes its connections before its listening port, so
-    // this check may still have connected to it. The check is therefore
-    // repeated.
+    // The check is repeated, because it may have connected to a process that is
+    // being killed: such a process closes its connections before its listening
+    // port.
     if (!r.status.ok() && !r.never_sent && checks_left > 1) {
       AnswerInterruptedCall(upstream, interrupted_call, reason,
                             checks_left - 1);
@@ -330,8 +329,8 @@
     HeaderList headers = ErrorHeaders(ErrorKind::kOutcomeUnknown, true);
     if (!r.status.ok() && r.never_sent) {
       Termination& termination = terminations_[upstream];
-      // A call that was sent after the last observed termination was
-      // interrupted by a new one, which gets a new id.
+      // If the call was sent after the last observed termination, a new
+      // termination has interrupted it, which gets a new id.
       if (interrupted_call.sent_at >= termination.observed_at) {
         termination = {clock_.Now(), absl::StrCat(absl::Hex(RandomSeed()))};
       }
--- a/src/agent_link.cc
+++ b/src/agent_link.cc
@@ -7,8 +7,9 @@
   call_ = std::move(call);
   call_active_ = true;
   if (!agent_.usable()) {
-    // The kernel accepts connections even for a frozen agent process. A request
-    // is therefore sent only after the agent has answered a probe.
+    // A request is sent only after the agent has answered a probe. A successful
+    // connect is not enough, because the kernel accepts connections even for a
+    // frozen agent process.
     EndCall(CallEnd::kNotSent, "agent does not answer");
     return;
   }
--- a/src/agent_link.h
+++ b/src/agent_link.h
@@ -27,9 +27,9 @@
   bool idle() const override { return !call_active_; }
   bool open() const override { return false; }
   bool sent() const override { return sent_; }
-  // Has no effect: this process buffers the part of an answer that a slow
-  // caller has not read yet. Agents are few and close by, so flow control
-  // towards them is not needed.
+  // Has no effect. Flow control towards agents is not needed, because they are
+  // few and close by. If a caller is slow, this process buffers the part of the
+  // answer that the caller has not read yet.
   void SetReadPaused(bool) override {}
   TimePoint idle_since() const override { return {}; }
   Duration max_idle_time() const override { return {}; }
--- a/src/caller_server.cc
+++ b/src/caller_server.cc
@@ -18,15 +18,14 @@
 // Bytes that a caller may send ahead while its previous request is being
 // answered. A connection that exceeds this limit is closed.
 constexpr size_t kMaxUnparsedBytes = 1 << 20;
-// Minimum time for which a connection must have been idle to be evicted. The
-// first or next request of a connection that was idle for less may already be
-// in transit.
+// Minimum idle time before a connection may be evicted. If a connection became
+// idle more recently, its first or next request may already be in transit.
 constexpr Millis kMinIdle(20);
 // Interval of eviction attempts while new callers wait, in seconds.
 constexpr double kEvictionSeconds = 0.025;
-// One eviction closes at least 1/kEvictOneIn of the evictable connections.
-// Scanning all connections for each new caller would cost more than serving the
-// callers.
+// One eviction closes at least 1/kEvictOneIn of the evictable connections,
+// because scanning all connections for each new caller would cost more than
+// serving the callers.
 constexpr size_t kEvictOneIn = 8;
 // Descriptors reserved for links, listeners, logs and files.
 constexpr size_t kReservedDescriptors = 100;
@@ -100,8 +99,8 @@
   // Closes the connection at once, before the end of the answer.
   void Abort() {
     auto self = shared_from_this();
-    // An answer without a length ends with an orderly close. The connection is
-    // therefore reset, so that the interrupted answer does not look complete.
+    // Resets the connection if the answer was begun without a length. After an
+    // orderly close, the interrupted answer would look complete.
     bool reset = exchange_ && exchange_->started_ && !exchange_->chunked_;
     DetachExchange();
     server_->connections_.erase(this);
@@ -120,8 +119,9 @@
   void CloseAfterThisAnswer() { close_after_ = true; }
   bool server_closing() const { return server_->closing_after_answers_; }
 
-  // Closes the connection if it has been idle, or has received nothing of its
-  // request, for longer than its timeout.
+  // Closes the connection if its last activity (a received byte or the end of
+  // an answer) is longer ago than header_timeout within a request, or
+  // idle_timeout between requests.
   void CloseIfTimedOut(TimePoint now) {
     if (answering_) return;
     Duration limit = parser_.started() ? server_->limits_.header_timeout
--- a/src/caller_server.h
+++ b/src/caller_server.h
@@ -130,7 +130,8 @@
   bool closing_after_answers_ = false;
   size_t max_connections_ = SIZE_MAX;
   ev_timer timeout_check_timer_{};
-  ev_timer eviction_timer_{};  // Runs while new callers wait for a connection.
+  // Timer of eviction attempts; active while new callers wait for a connection.
+  ev_timer eviction_timer_{};
   std::unordered_map<CallerConnection*, std::shared_ptr<CallerConnection>>
       connections_;
 };
--- a/src/crash_watch.cc
+++ b/src/crash_watch.cc
@@ -20,8 +20,9 @@
 void CrashWatch::RecordInterruptedCall(const std::string& upstream,
                                        const InterruptedCall& call) {
   const UpstreamState* u = pool_.Find(upstream);
-  // Interruptions by a draining upstream are ignored: it may terminate with
-  // requests in flight that are not the cause.
+  // Interruptions by a draining upstream are ignored. Such an upstream may
+  // terminate while requests are in flight, without any of them being the
+  // cause.
   if (!u || u->info.draining) return;
   suspects_[upstream].calls.push_back(call);
 }
--- a/src/dialect.h
+++ b/src/dialect.h
@@ -36,7 +36,8 @@
   std::vector<PromptPart> parts;
   // Id of the last event that the caller has; the answer resumes after it.
   std::optional<int64_t> last_event;
-  // Values that the request sets override the route's kind and repeatability.
+  // Kind and repeatability of the request, if the request sets them. They
+  // override the values of the route.
   std::optional<RequestKind> kind;
   std::optional<bool> repeatable;
   // If not 0, every attempt goes to the one upstream that this hash selects.
@@ -75,8 +76,8 @@
   // termination was observed.
   std::string termination_id;
   bool has_signature = false;  // The answer has the upstream's signature.
-  // Whether the answer reports the upstream's load, and if so, its numbers of
-  // running and waiting requests.
+  // Whether the answer reports the upstream's load. If it does, `running` and
+  // `waiting` are the upstream's numbers of running and waiting requests.
   bool has_load = false;
   int running = 0;
   int waiting = 0;
--- a/src/entry.cc
+++ b/src/entry.cc
@@ -21,9 +21,9 @@
 // Retries allowed per window in addition to the budget's share of requests, so
 // that an entry with little traffic can retry.
 constexpr double kBaseRetriesPerWindow = 10;
-// Minimum number of engines of a service for keeping some of them for one kind
-// of work (prefill or decode). Deployments of this API have fewer engines per
-// model.
+// Minimum number of engines that a service must have before some of them are
+// kept for one kind of work (prefill or decode). Deployments of this API have
+// fewer engines per model.
 constexpr int kMinEnginesToSplit = 6;
 // An engine is a straggler if the gap between the events of its streams is this
 // many times the gap of the median engine.
@@ -38,15 +38,15 @@
                                    EntryPolicyKind policy) {
   GatewayOptions o;
   o.data_centre = host.data_centre;
-  // The gateway uses only the share kUsableAllowanceShare of its retry
-  // allowance. Dividing by it gives this entry the whole configured budget,
-  // which it shares with no other process.
+  // This entry shares its retry budget with no other process and should use all
+  // of it. The gateway uses only the share kUsableAllowanceShare of its retry
+  // allowance, so the configured budget is divided by this share.
   o.retry.ratio = s.entry.retry_budget_percent / 100.0 / kUsableAllowanceShare;
   o.retry.slack = kBaseRetriesPerWindow / kUsableAllowanceShare;
   o.connection_share = 1.0;
   o.placement.min_engines_to_split = kMinEnginesToSplit;
-  // No additional limit on long generations, because the settings already limit
-  // the requests that an entry sends to an engine.
+  // Long generations get no limit of their own, because the settings already
+  // limit the requests that an entry sends to an engine.
   o.placement.own_generations_share = 0;
   o.placement.max_plain_load = 1.0;
   o.placement.straggler_factor = kStragglerFactor;
--- a/src/fake_service.cc
+++ b/src/fake_service.cc
@@ -48,8 +48,8 @@
     ex->Respond(400, headers, R"({"error":"bad request"})");
     return;
   }
-  // The service executes a billing call on receipt. If the caller resends it
-  // from here on, the ticket is billed twice.
+  // The service executes a billing call on receipt. If the caller resends the
+  // call after this point, the ticket is billed twice.
   std::string ticket = body["ticket"].get<std::string>();
   ++executions_by_ticket_[ticket];
   auto p = std::make_unique<PendingCall>(
--- a/src/gateway.cc
+++ b/src/gateway.cc
@@ -135,8 +135,8 @@
   uint64_t seq = r.seq;
   r.exchange->set_on_disconnect([this, seq] { OnCallerDisconnect(seq); });
   if (!config_) {
-    // A process that has just started soon receives its first configuration.
-    // For the caller, waiting for the configuration is cheaper than a retry.
+    // Requests wait for the first configuration, which a process receives soon
+    // after its start. For the caller, waiting is cheaper than a retry.
     awaiting_config_.push_back(r.seq);
     return;
   }
@@ -289,9 +289,9 @@
   for (UpstreamState& u : pool_.upstreams()) {
     if (u.info.service != r.service->name) continue;
     u.no_send_slot = u.limit_per_s && !HasSendSlot(u, now);
-    // Each request of this process at an upstream holds one connection. With
-    // fewer requests than `limit` there is a free connection, so the scan of
-    // the idle connections is skipped.
+    // Skips the scan of the idle connections if this process has fewer than
+    // `limit` requests at the upstream. Each request holds one connection, so
+    // one of the `limit` connections is then free.
     u.at_own_limit = u.in_flight >= limit && pool_.AtConnectionLimit(u, limit);
     if (r.shape != WorkShape::kDecode || u.at_own_limit) continue;
     u.at_own_limit = !AcceptsGeneration(u, r.service->engine->slots,
--- a/src/gateway.h
+++ b/src/gateway.h
@@ -190,10 +190,11 @@
   PrefixCacheIndex prefix_cache_index_;
   WaitingQueue waiting_queue_;
   int entry_count_;
-  // Entry count and index that determine the send slots of this process, and
-  // when the count was last set. A lower count is adopted only after a delay.
-  // While control processes change, some entry processes are not counted for a
-  // moment, and with the lower count this process would use too many slots.
+  // Number of entry processes and index of this process among them, which
+  // determine its send slots, and the time when the number was last set. A
+  // lower number is adopted only after a delay: while control processes change,
+  // some entry processes are not counted for a moment, and with the lower
+  // number this process would use too many slots.
   ProcessIndex process_index_;
   TimePoint send_slot_share_set_at_{};
   // Requests that wait for the first configuration or for a newer one.
--- a/src/gateway_answer.cc
+++ b/src/gateway_answer.cc
@@ -218,8 +218,7 @@
   if (r.stream_started) {
     r.exchange->FinishAnswer();
   } else {
-    // This branch also handles a stream that ended without events, which is
-    // complete.
+    // A stream that was complete without any event is also answered here.
     SendBufferedAnswer(r);
   }
   FinishRequest(r, "answered", absl::StrCat(r.answer.status));
--- a/src/gateway_failure.cc
+++ b/src/gateway_failure.cc
@@ -12,15 +12,15 @@
 
 // Minimum time left until the deadline for a request to be sent again.
 constexpr auto kMinTimeToRetry = Millis(20);
-// Lower bound of Retry-After in seconds, also used if it is unknown when the
-// service last answered; its random spread; its upper bound in seconds. Without
-// the spread, callers that are rejected at the same moment would all return at
-// the same moment.
+// Lower bound, random spread and upper bound of Retry-After; the bounds are in
+// seconds. The lower bound is also used if it is unknown when the service last
+// answered. Without the spread, callers that are rejected at the same moment
+// would all return at the same moment.
 constexpr double kMinRetryAfterSeconds = 0.3;
 constexpr double kRetryAfterSpread = 0.5;
 constexpr double kMaxRetryAfterSeconds = 3;
-// A request counts as just begun for this long after the answer's head has
-// arrived. If no head has arrived, the time counts from the sending of the
+// Time after the arrival of the answer's head for which a request counts as
+// just begun. If no head has arrived, the time counts from the sending of the
 // request.
 constexpr auto kJustBegunWindow = Millis(500);
 // Retry-After for callers that this process rejects because it is draining.
@@ -215,9 +215,9 @@
 }
 
 // Tells the service's tier admission that a request was rejected for lack of
-// capacity, unless no upstream is usable. In such an outage no request takes
-// the slot of another. If rejections during an outage were recorded, tier
-// admission would still hold back less urgent tiers after the outage.
+// capacity. Rejections are not recorded while no upstream is usable: in such an
+// outage no request takes the slot of another, and tier admission would
+// otherwise still hold back less urgent tiers after the outage.
 void Gateway::RecordCapacityRejection(const Request& r) {
   TimePoint now = clock_.Now();
   AvailabilityCounts n = CountAvailability(
--- a/src/gateway_request.h
+++ b/src/gateway_request.h
@@ -14,11 +14,12 @@
 namespace medlarwalk {
 
 // Connect timeouts of one request, one per connection attempt. Failed
-// connection attempts do not count as attempts of the request. A running host
-// answers within a round trip. A host without power never answers, and a
-// request must not spend its latency target on that host. The last timeouts
-// grow until they exceed the second after which the kernel retransmits a lost
-// first packet: if all shorter timeouts expire, the network is slow.
+// connection attempts do not count as attempts of the request. The first
+// timeouts are short: a running host answers within a round trip, and a request
+// must not spend its latency target on a host without power, which never
+// answers. The last timeouts grow until they exceed the second after which the
+// kernel retransmits a lost first packet, because the network is slow if all
+// shorter timeouts expire.
 inline constexpr std::array<Millis, 4> kConnectTimeouts = {
     Millis(250), Millis(250), Millis(600), Millis(1200)};
 
--- a/src/gateway_timers.cc
+++ b/src/gateway_timers.cc
@@ -12,15 +12,14 @@
 namespace medlarwalk {
 namespace {
 
-// Time without progress, in event gap targets, after which a stream is
-// retried at another upstream if allowed. Before the first event, the time is
-// counted in latency targets instead. In both cases it is at least
-// kMinStreamStall.
+// A stream without progress for this many event gap targets is retried at
+// another upstream if allowed. Before the first event, the limit is a number of
+// latency targets instead. Both limits are at least kMinStreamStall.
 constexpr int kStallEventGapTargets = 6;
 constexpr int kStallFirstEventTargets = 2;
 constexpr auto kMinStreamStall = Millis(1000);
-// Time without an answer, in latency targets, after which a repeatable plain
-// request is retried at another upstream. It is at least kMinPlainStall.
+// A repeatable plain request without an answer for this many latency targets,
+// and at least kMinPlainStall, is retried at another upstream.
 constexpr int kPlainStallLatencyTargets = 3;
 constexpr auto kMinPlainStall = Millis(300);
 // Time over which the demand for long generations is smoothed. Without
--- a/src/loop_watch.cc
+++ b/src/loop_watch.cc
@@ -8,8 +8,8 @@
 namespace medlarwalk {
 namespace {
 
-// Minimum duration of an iteration that is logged, and minimum time between two
-// such log lines.
+// Iterations of at least kSlowIteration are logged, at most one per
+// kLogInterval.
 constexpr auto kSlowIteration = Millis(250);
 constexpr auto kLogInterval = std::chrono::seconds(1);
 
--- a/src/native_api.cc
+++ b/src/native_api.cc
@@ -248,8 +248,8 @@
   RoutingConfig c;
   c.version = settings.version;
   c.limits.body_bytes = kMaxBodyBytes;
-  // Services to which each path routes. The weight of a service is its number
-  // of upstreams.
+  // Services to which each path routes, with their weights. The weight of a
+  // service is its number of upstreams.
   std::map<std::string, std::map<std::string, double>> paths;
   for (const UpstreamSettings& u : settings.upstreams) {
     std::string service = CoreServiceName(u);
--- a/src/serving.cc
+++ b/src/serving.cc
@@ -12,15 +12,17 @@
 namespace {
 
 // Time for which a configuration counts as current after control confirmed it.
-// An up-to-date control process answers a watch request within 0.4 s. Operators
-// can demand that a configuration change takes effect everywhere within 2 s or
-// more; after that time, requests that the change allows must not be rejected.
+// It is longer than the 0.4 s within which an up-to-date control process
+// answers a watch request. It is shorter than 2 s, the shortest time within
+// which operators can demand that a configuration change takes effect
+// everywhere; after that time, requests that the change allows must not be
+// rejected.
 constexpr auto kConfigTrust = Millis(1500);
 constexpr double kTickSeconds = 0.02;
 // Maximum age of control's upstream list, as a time and as a number of
 // control's read intervals. If the list is older than both, this process reads
-// the upstream list itself, at most once per kOwnListInterval. Otherwise
-// draining upstreams would be noticed too late.
+// the upstream list itself, at most once per kOwnListInterval, because with an
+// old list it would notice draining upstreams too late.
 constexpr Duration kMaxListAge = Millis(2000);
 constexpr int kMaxListAgeInReads = 2;
 constexpr Duration kOwnListInterval = Millis(2000);
@@ -98,9 +100,9 @@
             OnWatchReply(r, in_sync);
           }),
       lister_(loop, clock, options_.list),
-      // Initialized to the current time so that this process does not read the
-      // list itself at startup. Control soon has a list even if all processes
-      // start at once, unless the entry processes use up the calls that the
+      // Initialized to the current time, so that this process does not read the
+      // list itself at startup. Even if all processes start at once, control
+      // soon has a list, unless the entry processes use up the calls that the
       // list's source accepts.
       list_current_at_(clock.Now()) {
   InitTimer(&tick_, OnTick, kTickSeconds, kTickSeconds);
@@ -139,9 +141,9 @@
   // is not up to date, because a recorded crash never becomes invalid.
   if (r.quarantine) MergeCrashRecords(*r.quarantine);
   if (r.limits) MergeLimitRecords(*r.limits);
-  // A control process that is not up to date may hold an old configuration. Its
-  // configuration is applied only if it is newer than the one in force here,
-  // and never as the first one.
+  // The configuration of a control process that is not up to date may be old.
+  // It is applied only if it is newer than the one in force here, and never as
+  // the first one.
   bool first = watch_.next_request().config_version == 0;
   if (r.config && (in_sync || !first)) ApplyConfig(r.config_version, *r.config);
   if (!in_sync) return;
--- a/test/ledger_test.cc
+++ b/test/ledger_test.cc
@@ -108,9 +108,9 @@
   CHECK(l.size() > 0);
 }
 
-// Guards against an agent that terminates at startup. A record in the ledger
-// file has a value of the wrong type, for which the JSON library throws an
-// exception.
+// Guards against an agent that terminates at startup because a record in the
+// ledger file has a value of the wrong type, for which the JSON library throws
+// an exception.
 TEST(ledger, RecordWithWrongValueTypeIsDataLoss) {
   std::ofstream(path) << "{\"k\":1,\"op\":\"start\"}\n"
                       << "{\"k\":\"a\",\"op\":\"start\",\"fp\":1}\n";
--- a/test/path_test.cc
+++ b/test/path_test.cc
@@ -186,7 +186,8 @@
                      kGateReleaseHeaders);
   LONGS_EQUAL(503, r.status);
   CHECK_TRUE(absl::StrContains(r.body, "quarantined"));
-  // The engine stays ejected for seconds after its three consecutive failures.
+  // Repeats another request until it is served, because the engine stays
+  // ejected for seconds after its three consecutive failures.
   bool served = false;
   for (int k = 0; k < 20 && !served; ++k) {
     std::this_thread::sleep_for(std::chrono::milliseconds(500));
@@ -246,9 +247,9 @@
 }
 
 // Guards against billing a ticket twice because the caller gets "not run" and
-// resends. The agent is killed while the service executes the call, so the
-// answer must be "outcome unknown". The answer is "not run" only if no
-// connection was made.
+// resends. The answer may be "not run" only if no connection to the service was
+// made. If the agent is killed while the service executes the call, the answer
+// must be "outcome unknown".
 TEST(path, NotRunIsReportedOnlyIfNeverSent) {
   Fleet f(KeepOnlyUpstreams({"scalehouse-1"}));
   f.StartAgent(4);
@@ -272,10 +273,10 @@
   // The service is killed during a call while the agent keeps running. The
   // agent must not report "not run" for this failure.
   f.StartAgent(4);
-  // After an agent was killed, the entry sends nothing to it until a backoff is
-  // over. The test therefore repeats the request, a bounded number of times,
-  // until a call passes through the new agent. Only then does it kill the
-  // service, during the next call.
+  // Repeats a request, a bounded number of times, until one passes through the
+  // new agent: after the old agent was killed, the entry sends nothing to this
+  // agent until a backoff is over. The service is killed during the call after
+  // that.
   HttpReply warm;
   for (int i = 0; i < 20 && warm.status != 200; ++i) {
     warm = Post(f.EntryUrl() + "/v1/services/scalehouse-1/bill",
@@ -313,7 +314,8 @@
   Post(url, R"({"ticket":"B"})", BillingHeaders("adj-B"));
   killer.join();
   f.StartAgent(4);
-  // Ticket B completes.
+  // Waits until the service has completed ticket B. The resend must not run it
+  // again.
   std::this_thread::sleep_for(std::chrono::milliseconds(800));
   HttpReply resend = Post(url, R"({"ticket":"B"})", BillingHeaders("adj-B"));
   CHECK(resend.status == 502 || resend.status == 409);
