--- a/src/base/errors.h
+++ b/src/base/errors.h
@@ -51,7 +51,8 @@
   bool not_run;            // Whether the answer promises the request never ran.
 };
 
-// Returns the answer for `kind`. Thread safe.
+// Returns the answer that is sent to the caller of a request that failed with
+// `kind`. Thread safe.
 const ErrorAnswer& ErrorAnswerFor(ErrorKind kind);
 
 // Returns a status that carries `kind` and a human-readable `message`.
--- a/src/base/log.cc
+++ b/src/base/log.cc
@@ -25,7 +25,7 @@
 
 // Sustained log lines per second, and burst size in lines. The rate is several
 // times what a busy entry writes, and a tenth of the rate that would take a
-// noticeable share of its CPU time.
+// noticeable share of the entry's CPU time.
 constexpr double kLinesPerSecond = 400;
 constexpr double kLineBurst = 2000;
 
--- a/src/base/payload.h
+++ b/src/base/payload.h
@@ -33,13 +33,14 @@
   void Append(absl::string_view bytes);
   // Appends a shared document; null appends nothing.
   void Append(Document shared);
-  // Moves up to `max_bytes` bytes from the front to `to`. Returns their number.
+  // Moves up to `max_bytes` bytes from the front of the queue to `to`. Returns
+  // the number of bytes moved.
   size_t Dequeue(uint8_t* to, size_t max_bytes);
   // Returns a copy of the remaining bytes.
   std::string CopyRemaining() const;
 
  private:
-  // Returns the next contiguous bytes.
+  // Returns the contiguous bytes at the front of the queue.
   absl::string_view FrontPiece() const;
 
   std::deque<Document> pieces_;  // Pieces that precede the bytes in `tail_`.
--- a/src/control_calls.cc
+++ b/src/control_calls.cc
@@ -50,8 +50,8 @@
     done(absl::UnavailableError("no store"));
     return;
   }
-  // A committed configuration is durable. A submission of the committed version
-  // or a lower one therefore succeeds without the leader.
+  // A submission of the committed version or a lower one succeeds without the
+  // leader, because the committed configuration is durable.
   if (version <= replica_->config_version()) {
     done(absl::OkStatus());
     return;
--- a/src/control_watch.cc
+++ b/src/control_watch.cc
@@ -180,9 +180,11 @@
 }
 
 // Returns whether this process may send its configuration to `w`. A follower
-// without a configuration would apply a stale one and keep it until a newer one
-// arrives. It is therefore sent only a version that the leader has confirmed
-// after the watch arrived. It is sent nothing while this process may lack crash
+// that already has a configuration may always receive it. A follower without
+// one may receive it only if the leader has confirmed, after the watch arrived,
+// that no newer version is committed. Without this check, the follower could
+// apply a stale configuration and keep it until a newer one arrives. A follower
+// without a configuration also receives none while this process may lack crash
 // records.
 bool Control::MayPublishTo(const PendingWatch& w) const {
   if (w.request.config_version > 0) return true;
@@ -233,13 +235,14 @@
                                              : "nothing");
     w.stream->Respond(200, {}, EncodeWatchReply(reply));
   }
-  // Appends to `pending_watches_`, because sending the answers may have added
-  // new watches.
+  // Appends the remaining watches instead of assigning them, because sending
+  // the answers may have added new watches to `pending_watches_`.
   for (PendingWatch& w : keep) pending_watches_.push_back(std::move(w));
 }
 
-// Asks the leader to confirm the newest version if a follower without a
-// configuration waits for that. One request serves all such followers.
+// Asks the leader to confirm the newest configuration version if a follower
+// without a configuration waits for the confirmation. One request serves all
+// such followers.
 void Control::ConfirmVersionForNewWatches() {
   if (confirming_version_ || !replica_) return;
   bool needed = std::any_of(pending_watches_.begin(), pending_watches_.end(),
--- a/src/control_wire.h
+++ b/src/control_wire.h
@@ -101,7 +101,8 @@
 };
 
 // Encodes the addresses of the group's members. Members send them to seeds that
-// keep no state, because such a process knows only its own seeds after a start.
+// keep no state, because a process without state knows only its own seeds after
+// a start.
 std::string EncodeMemberAddresses(const std::vector<std::string>& control);
 absl::StatusOr<std::vector<std::string>> DecodeMemberAddresses(
     absl::string_view bytes);
--- a/src/lister.cc
+++ b/src/lister.cc
@@ -17,13 +17,14 @@
 // pages are outdated.
 constexpr auto kReadTimeout = std::chrono::seconds(3);
 // Delay before retrying a page that the source rejected for its rate limit. The
-// source rejects all calls for the rest of the second. A read that restarted
-// from the first page would use up the calls of the next second with the same
-// pages. It would never complete a list with more pages than the source accepts
-// calls per second.
+// source rejects all calls for the rest of the second. Only the rejected page
+// is read again: a read that restarted from the first page would use up the
+// calls of the next second with the same pages, and would never complete a list
+// with more pages than the source accepts calls per second.
 constexpr auto kRetryDelay = Millis(150);
 constexpr int kHttpTooManyRequests = 429;
-// Time between two reads: minimum, maximum, and increase per listed upstream.
+// Time between two reads of the list: minimum, maximum, and increase per listed
+// upstream.
 constexpr Duration kMinInterval = Millis(600);
 constexpr Duration kMaxInterval = Millis(1500);
 constexpr Duration kIntervalPerUpstream = std::chrono::microseconds(500);
--- a/src/replica.cc
+++ b/src/replica.cc
@@ -115,10 +115,10 @@
 }
 
 TimePoint Replica::QuorumContactTime() const {
-  // Each voter has followed this leader at least until the leader sent the
-  // newest round that the voter answered. The quorum-th newest of these send
-  // times is the latest time at which a quorum is known to have followed this
-  // leader.
+  // A voter that has answered a round has followed this leader at least until
+  // the round was sent. For each voter, the send time of the newest round that
+  // it answered counts. The quorum-th newest of these times is the latest time
+  // at which a quorum is known to have followed this leader.
   std::vector<TimePoint> contact_times;
   for (const Member& m : members_) {
     if (m.id == self_.id) {
@@ -369,9 +369,9 @@
   return true;
 }
 
-// Records the time if this follower is up to date. A leader that has committed
-// an entry of its own term knows every committed entry. A follower that has
-// committed all that such a leader has committed is up to date.
+// Records the current time if this follower is up to date: it has committed all
+// that the leader has committed, and the leader has committed an entry of its
+// own term. Such a leader knows every committed entry.
 void Replica::RecordUpToDateTime(const ReplicaMessage& m) {
   if (commit_index_ >= m.commit_index && TermAt(m.commit_index) == m.term) {
     up_to_date_at_ = clock_.Now();
@@ -546,9 +546,9 @@
 }
 
 void Replica::MaybeCompactLog() {
-  // A snapshot writes the newest configuration again. The log is compacted only
-  // after twice the size of that configuration was logged, so that snapshots
-  // are the smaller part of all writes.
+  // The bytes in the log trigger a compaction only when they reach twice the
+  // size of the newest configuration. Each snapshot writes that configuration
+  // again; with this limit, snapshots are the smaller part of all writes.
   size_t min_bytes =
       std::max(options_.compact_bytes, 2 * (config_ ? config_->size() : 0));
   if (applied_index_ - snapshot_.index < options_.compact_entries &&
--- a/src/replica_election.cc
+++ b/src/replica_election.cc
@@ -54,10 +54,10 @@
 }
 
 void Replica::StartElection(bool pre_vote) {
-  // A pre-vote does not disturb a leader. Until the first contact with a
-  // leader, pre-votes are therefore repeated at short intervals, because the
-  // other replicas may just be starting. The interval doubles with each
-  // attempt, because storing votes may take long on slow disks.
+  // Until the first contact with a leader, pre-votes are repeated at short
+  // intervals, because the other replicas may just be starting, and a pre-vote
+  // does not disturb a leader. The interval doubles with each attempt, because
+  // storing votes may take long on slow disks.
   if (leader_contact_at_ != TimePoint{})
     election_timeout_base_ = options_.election_timeout_min;
   ResetElectionTimer(election_timeout_base_);
@@ -120,10 +120,10 @@
   if (hooks_.on_leader_change) hooks_.on_leader_change();
 }
 
-// Returns whether this replica and the sender of `m` sent concurrent pre-votes
-// with the same last log entry, and this replica has the lower id. The sender
-// then gets no pre-vote. Without this rule both would win the pre-vote. If
-// every vote is needed, neither would then win the election.
+// Returns whether this replica must refuse its pre-vote to the sender of `m`:
+// both sent concurrent pre-votes with the same last log entry, and this replica
+// has the lower id. Without this rule, both would win the pre-vote, and if
+// every vote is needed, neither would win the election after it.
 bool Replica::WinsElectionTie(const ReplicaMessage& m) const {
   bool pre_vote_concurrent =
       role_ == ReplicaRole::kCandidate &&
--- a/src/replica_members.cc
+++ b/src/replica_members.cc
@@ -15,9 +15,9 @@
 }  // namespace
 
 // Adds learners that have caught up as voters and removes lost voters, one
-// change at a time. A voter is removed first if a learner has its address: the
-// host lost its disk, so the old identity never answers again. Voters that have
-// been silent for long are removed as well.
+// change at a time. If a learner has the address of a voter, that voter is
+// removed first: its host lost its disk, so the old identity never answers
+// again. Voters that have been silent for long are removed as well.
 void Replica::UpdateMembership() {
   TimePoint now = clock_.Now();
   for (auto it = peers_.begin(); it != peers_.end();) {
--- a/src/replica_store.cc
+++ b/src/replica_store.cc
@@ -180,9 +180,9 @@
   for (const LogEntry& e : state.log) bytes += FrameRecord(EntryRecord(e));
   absl::StatusOr<int> fd = ReplaceFile(path_, bytes, before_write_);
   if (!fd.ok()) return fd.status();
-  // The new file is in use from this point. Until the directory is synced, the
-  // old file may reappear after a power loss. WriteRecords therefore syncs the
-  // directory before it writes.
+  // From this point, records are written to the new file. WriteRecords syncs
+  // the directory before it writes, because the old file may reappear after a
+  // power loss until the directory is synced.
   if (fd_ >= 0) close(fd_);
   fd_ = *fd;
   synced_length_ = static_cast<int64_t>(bytes.size());
--- a/src/replica_store.h
+++ b/src/replica_store.h
@@ -48,7 +48,8 @@
   // Whether the file may hold a torn record after `synced_length_`. If so, it
   // is truncated to that length before the next record is written.
   bool tail_dirty_ = false;
-  // Whether the rename of the last rewrite may not be durable yet.
+  // Whether the rename that completed the last rewrite of the file may not be
+  // durable yet.
   bool dir_sync_pending_ = false;
 };
 
--- a/src/watch_client.cc
+++ b/src/watch_client.cc
@@ -84,8 +84,9 @@
 std::vector<std::string> WatchClient::OrderedTargets() const {
   if (!pinned_.empty()) return {pinned_};
   std::vector<ControlEndpoint> candidates = known_endpoints_;
-  // The seeds are used after as many consecutive failures as there are known
-  // control processes, because all of these may have been replaced.
+  // If as many targets have failed in a row as there are known control
+  // processes, the seeds are used as well, because all known processes may have
+  // been replaced.
   if (consecutive_failures_ >= static_cast<int>(candidates.size())) {
     for (const std::string& s : seeds_) candidates.push_back({s, ""});
   }
@@ -107,8 +108,8 @@
   return addresses;
 }
 
-// Keeps the followed process, with two exceptions: it is no longer a candidate,
-// or the preferred candidate may have recovered from its failure.
+// Keeps the followed process, unless it is no longer a candidate or the
+// preferred candidate may have recovered from its failure.
 void WatchClient::ChooseTarget(TimePoint now) {
   std::vector<std::string> candidates = OrderedTargets();
   if (candidates.empty()) return;
@@ -186,8 +187,8 @@
     known_endpoints_ = r->control;
     next_request_.endpoints_version = EndpointsVersion(known_endpoints_);
   }
-  // The age in the answer counts to the arrival of the answer's first bytes, so
-  // the time since then is added.
+  // The age of the upstream list in the answer is taken as its age when the
+  // answer's first bytes arrived. The time since then is added.
   if (r->list_age_ms >= 0)
     r->list_age_ms += ToMs(clock_.Now() - answer_began_at_);
   on_reply_(*r, in_sync);
--- a/test/base/packed_test.cc
+++ b/test/base/packed_test.cc
@@ -36,8 +36,8 @@
   CHECK_TRUE(DecompressDocument(*CompressDocument(""), 10)->empty());
 }
 
-// Guards against slow delivery of a large configuration: one with 3,000 more
-// routes occupied the link of each entry for half a second.
+// Guards against slow delivery of a large configuration: after 3,000 routes
+// were added, it occupied the link of each entry for half a second.
 TEST(packed, ManyRoutesCompressToATenth) {
   std::string text = RoutesDocument(3000);
   CHECK_TRUE(CompressDocument(text)->size() * 10 < text.size());
--- a/test/control_test.cc
+++ b/test/control_test.cc
@@ -159,7 +159,8 @@
   for (int i = 0; i < 3; ++i) c.Start(i, c.Addresses(0, 3), false);
   CHECK_TRUE(c.Submit(0, "21").ok());
   for (int i = 0; i < 3; ++i) STRCMP_EQUAL("21", c.Read(i).c_str());
-  // Once the wiped host is a voter again, a second disk may be lost.
+  // After the wiped host has had time to become a voter again, the group must
+  // survive the loss of a second disk.
   c.Await([] { return false; }, 1500);
   c.Wipe(2);
   CHECK_TRUE(c.Submit(0, "22").ok());
@@ -178,7 +179,8 @@
   for (int i = 0; i < 6; ++i) c.Start(i, c.Addresses(3, 6), false);
   CHECK_TRUE(c.Submit(4, "2").ok());
   STRCMP_EQUAL("2", c.Read(5).c_str());
-  // A host with a wiped disk also joins the group through these seeds.
+  // A host with a wiped disk must also be able to join the group through these
+  // seeds.
   c.Wipe(0);
   c.Start(0, c.Addresses(3, 6), false);
   CHECK_TRUE(c.Submit(0, "3").ok());
--- a/test/replica_test.cc
+++ b/test/replica_test.cc
@@ -117,8 +117,8 @@
     g.RestoreAllLinks();
     g.Run(std::chrono::seconds(8));
     LONGS_EQUAL(-1, g.Leader());
-    // When the host with the configuration is back, the group works again and
-    // admits the wiped host as a new member.
+    // When the host with the configuration is back, the group must work again
+    // and admit the wiped host as a new member.
     g.Start(leader);
     CHECK_TRUE(g.AwaitLeader(kMaxLeaderWait) >= 0);
     g.Run(std::chrono::seconds(3));
@@ -246,11 +246,11 @@
   }
 }
 
-// Guards against an outage that lasts 0.2 s longer than the start of the
-// processes, after all were stopped at once. All replicas start at the same
-// time and wait before they request votes. They waited as long as if there
-// could be a leader, although no replica had had contact with one since the
-// start.
+// Guards against a slow election after all processes were stopped at once: the
+// outage lasted 0.2 s longer than the start of the processes. All replicas
+// start at the same time and wait before they request votes. They waited as
+// long as if there could be a leader, although no replica had had contact with
+// one since the start.
 TEST(replica, SimultaneousStartElectsLeaderQuickly) {
   ElectionTimes t = MeasureElectionTimes(40, [](ReplicaGroup& g) {
     CHECK_TRUE(ProposeAndWait(g, 1));
