--- a/src/bench.cc
+++ b/src/bench.cc
@@ -101,8 +101,9 @@
         queue_.RemoveUnserved(seq);
         RecordRejection(seq);
       }
-      // As the gateway does, skips requests similar to one that found no slot:
-      // here those of the same class with the same prompt prefix.
+      // Skips requests similar to one that found no slot, as the gateway does.
+      // Similar requests are here those of the same class with the same prompt
+      // prefix.
       std::set<std::pair<int, uint64_t>> without_slot;
       for (uint64_t seq : queue_.ServingOrder(kService, clock_.Now())) {
         std::pair<int, uint64_t> similar(trace_[seq].klass,
--- a/src/h2.cc
+++ b/src/h2.cc
@@ -223,8 +223,8 @@
 }
 
 // Sends pings on schedule and closes the connection when the peer does not
-// answer within the timeout; a silently failed connection would look open
-// forever.
+// answer within the timeout. Without pings, a connection that failed silently
+// would look open forever.
 void H2Client::OnPingTimer(struct ev_loop*, ev_timer* w, int) {
   auto* self = static_cast<H2Client*>(w->data);
   auto& r = self->draining_connections_;
--- a/src/h2_connection.h
+++ b/src/h2_connection.h
@@ -275,8 +275,8 @@
     ev_io_stop(loop_, &read_io_);
     ev_io_stop(loop_, &write_io_);
     ev_feed_event(loop_, &read_io_, EV_CUSTOM);
-    // OnReadable deletes the connection on EV_CUSTOM, outside any callback of
-    // nghttp2.
+    // EV_CUSTOM makes OnReadable delete the connection later, outside any
+    // callback of nghttp2.
     ev_io_start(loop_, &read_io_);
   }
 
--- a/src/http_client.cc
+++ b/src/http_client.cc
@@ -92,9 +92,9 @@
 void HttpClient::Cancel(uint64_t id) {
   auto it = calls_.find(id);
   if (it == calls_.end()) return;
-  // An easy handle must not be removed inside its own write callback, so the
-  // call is only marked here and removed from the loop. Its connection is
-  // closed with it, so that the upstream aborts the request.
+  // Only marks the call, which the loop removes later, because an easy handle
+  // must not be removed inside its own write callback. The connection of the
+  // call is closed with it, so that the upstream aborts the request.
   it->second->cancelled = true;
   it->second->call.on_done = nullptr;
   it->second->call.on_data = nullptr;
--- a/src/tcp.cc
+++ b/src/tcp.cc
@@ -71,9 +71,10 @@
                               errno == EINPROGRESS);
   c->refused_ = address_valid && !ok && errno == ECONNREFUSED;
   // A connection attempt that fails immediately is reported through the timer,
-  // so that the caller can set its callbacks first. The loop's clock shows the
-  // start of the current iteration. Without the update, a timer set late in a
-  // long iteration would expire before the loop polls the socket again.
+  // so that the caller can set its callbacks first. The loop's clock is updated
+  // before the timer is set, because the clock otherwise shows the start of the
+  // current iteration. Without the update, a timer set late in a long iteration
+  // would expire before the loop polls the socket again.
   ev_now_update(loop);
   ev_timer_set(&c->timer_, ok ? ToSeconds(timeout) : 0., 0.);
   ev_timer_start(loop, &c->timer_);
--- a/src/tcp.h
+++ b/src/tcp.h
@@ -146,7 +146,8 @@
   TcpListener(struct ev_loop* loop,
               std::function<void(std::shared_ptr<TcpConnection>)> on_accept);
 
-  // Starts to listen, as Acceptor::Listen().
+  // Starts to listen; port 0 selects any free port. Errors: Unavailable when
+  // the address cannot be bound.
   absl::Status Listen(const Endpoint& at) { return acceptor_.Listen(at); }
   void Stop() { acceptor_.Stop(); }
   void SetPaused(bool paused) { acceptor_.SetPaused(paused); }
--- a/test/h2_test.cc
+++ b/test/h2_test.cc
@@ -123,7 +123,8 @@
         },
         2000));
     for (int i = 0; i < 5; ++i) {
-      // The peer answers a ping, and the client reads the answer late.
+      // The peer answers a ping, and the client reads the answer late. The
+      // client must not treat the peer as silent.
       RunUntil(
           loops.client_loop, [] { return false; }, 150);
       RunUntil(
@@ -194,8 +195,8 @@
   std::string body;
   bool closed = false;
   client.Submit(GetRequest("/a", &body, &closed));
-  // The first attempt has the short timeout, because other peers may be
-  // reachable.
+  // The first attempt must end after the short timeout, because other peers may
+  // be reachable.
   CHECK_TRUE(RunUntil(
       loops.client_loop, [&] { return closed; }, 500));
   TimePoint until = clock.Now() + Millis(5000);
