--- a/fuzz/wire.cc
+++ b/fuzz/wire.cc
@@ -10,8 +10,8 @@
 namespace medlarwalk {
 namespace {
 
-// First bytes that select usage records and limit records. Any other first byte
-// selects by its remainder modulo 5.
+// First bytes that select usage records and limit records. The remainder modulo
+// 5 of any other first byte selects the type of message.
 constexpr uint8_t kUsage = 'u';
 constexpr uint8_t kLimits = 'y';
 constexpr TimePoint kFuzzTime{std::chrono::hours(1000)};
--- a/src/http1_client.cc
+++ b/src/http1_client.cc
@@ -104,7 +104,8 @@
 
 void Http1Client::OnData(absl::string_view data) {
   if (!busy_) {
-    // Bytes received while no call is active belong to no request.
+    // Bytes received while no call is active belong to no request, so the
+    // connection cannot be reused.
     Close();
     return;
   }
--- a/src/http_server.h
+++ b/src/http_server.h
@@ -111,7 +111,8 @@
   // Runs MHD once and sets the timer to MHD's next timeout.
   void RunDaemon();
   // Schedules RunDaemon() from the loop. MHD notices a resumed connection only
-  // when it runs once more; running it from the loop prevents nested callbacks.
+  // when RunDaemon() runs once more. Running it from the loop prevents nested
+  // callbacks.
   void ScheduleDaemonRun();
 
   struct ev_loop* loop_;
--- a/src/settings.h
+++ b/src/settings.h
@@ -60,10 +60,11 @@
   int queue_limit = 0;  // Maximum queued requests per entry, over all classes.
   Millis starvation_bound{
       0};  // Wait after which a lower-tier request counts as starving.
-  int retry_budget_percent = 0;  // Retries in percent of first attempts.
-  Millis ping_interval{0};       // Interval of HTTP/2 PINGs to each agent.
-  Millis ping_timeout{0};        // Time without received bytes after which a
-                                 // connection to an agent is closed.
+  // Limit of retries, in percent of first attempts.
+  int retry_budget_percent = 0;
+  Millis ping_interval{0};  // Interval of HTTP/2 PINGs to each agent.
+  Millis ping_timeout{0};   // Time without received bytes after which a
+                            // connection to an agent is closed.
 };
 
 // The content of a settings file.
--- a/src/tcp.cc
+++ b/src/tcp.cc
@@ -24,7 +24,8 @@
 // Time without acknowledgement after which a connection fails. With the default
 // of the kernel, a write to a silent connection would wait for minutes.
 constexpr unsigned kUserTimeoutMs = 5000;
-// Unsent bytes that the kernel accepts per connection: two read blocks.
+// Limit of the unsent bytes that the kernel queues per connection: two read
+// blocks.
 constexpr int kMaxUnsentBytes = 64 * 1024;
 
 bool ToSockaddr(const Endpoint& e, sockaddr_in* out) {
