--- a/src/tcp.cc
+++ b/src/tcp.cc
@@ -24,7 +24,8 @@
 // Time without acknowledgement after which a connection fails. With the default
 // of the kernel, a write to a silent connection would wait for minutes.
 constexpr unsigned kUserTimeoutMs = 5000;
-// Unsent bytes that the kernel accepts per connection: two read blocks.
+// Limit of the unsent bytes that the kernel queues per connection: two read
+// blocks.
 constexpr int kMaxUnsentBytes = 64 * 1024;
 
 bool ToSockaddr(const Endpoint& e, sockaddr_in* out) {
@@ -71,9 +72,10 @@
                               errno == EINPROGRESS);
   c->refused_ = address_valid && !ok && errno == ECONNREFUSED;
   // A connection attempt that fails immediately is reported through the timer,
-  // so that the caller can set its callbacks first. The loop's clock shows the
-  // start of the current iteration. Without the update, a timer set late in a
-  // long iteration would expire before the loop polls the socket again.
+  // so that the caller can set its callbacks first. The loop's clock is updated
+  // before the timer is set, because the clock otherwise shows the start of the
+  // current iteration. Without the update, a timer set late in a long iteration
+  // would expire before the loop polls the socket again.
   ev_now_update(loop);
   ev_timer_set(&c->timer_, ok ? ToSeconds(timeout) : 0., 0.);
   ev_timer_start(loop, &c->timer_);
