--- a/tools/compare.sh
+++ b/tools/compare.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# One workload against the embedded default twice, once with the tiered
-# policy and once with the naive baseline (FIFO, round robin), and the CPU
-# the entries and agents spent per request. Usage: tools/compare.sh WORKLOAD
+# Runs one workload against the embedded default deployment twice: with the
+# tiered policy and with the naive baseline (FIFO, round robin). Prints the CPU
+# time of entries and agents per request. Usage: tools/compare.sh [WORKLOAD]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bin=build/medlarwalk
--- a/tools/control-cost.py
+++ b/tools/control-cost.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""What a control process costs with N entries that follow it, at rest.
+"""Measures the cost of a control process with N idle entries.
 
 Starts three control processes and N entries of build/medlarwalk on 127.0.0.1
-and prints processor time and memory of
-each role over the time measured. Usage: tools/control-cost.py N [SECONDS]
+and prints the processor time and memory of each role over the measured time.
+Usage: tools/control-cost.py N [SECONDS]
 """
 import os
 import pathlib
--- a/tools/fuzz.sh
+++ b/tools/fuzz.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# Fuzzes every decoder that reads bytes from outside, each target SECONDS long
-# from its committed corpus, JOBS at once. New inputs go to build-fuzz/new/T;
-# MERGE=1 brings those that reach more code into the corpus. With RUNS=N each
-# target plays N inputs from a fixed seed instead: the same ones each time.
+# Fuzzes every decoder of untrusted bytes. Runs each target for SECONDS from its
+# committed corpus, JOBS targets at once. Writes new inputs of target T to
+# build-fuzz/new/T; MERGE=1 merges those that reach more code into the corpus.
+# With RUNS=N, each target instead runs N inputs from a fixed seed, so that each
+# run uses the same inputs.
 # Usage: tools/fuzz.sh [SECONDS] [TARGET...]
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -20,7 +21,7 @@
   mkdir -p "fuzz/corpus/$t" "build-fuzz/new/$t"
   local bound=(-max_total_time="$seconds")
   [ -z "${RUNS:-}" ] || bound=(-runs="$RUNS" -seed=1)
-  # What earlier runs found would make this one another.
+  # Inputs found by earlier runs would change a run with a fixed seed.
   [ -z "${RUNS:-}" ] || rm -f "build-fuzz/new/$t"/*
   if build-fuzz/fuzz/fuzz_"$t" "${bound[@]}" -timeout=5 \
     -rss_limit_mb=1024 -max_len=4096 -print_final_stats=1 \
--- a/tools/install-deps.sh
+++ b/tools/install-deps.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what medlarwalk builds and tests with, from Debian's packages.
+# Installs the Debian packages that medlarwalk needs to build and test.
 set -euo pipefail
 pkgs="build-essential cmake pkg-config curl clang clang-format clang-tidy libclang-rt-14-dev spin
   libev-dev libnghttp2-dev prometheus-cpp-dev libcurl4-openssl-dev
--- a/tools/latency.sh
+++ b/tools/latency.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Added latency of the path (entry + agent): the same light load sent to a
-# fake engine directly and through entry and agent, in one run.
+# Measures the latency added by entry and agent: sends the same light load to a
+# fake engine directly and then through entry and agent, in one run.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bin=build/medlarwalk
--- a/tools/make-days.py
+++ b/tools/make-days.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""Writes days of our own for the users' bench into deploy/days/.
+"""Writes the project's own test days for the users' bench into deploy/days/.
 
-Every kind of trouble and every variant stands in at least three days: once
-with little else, twice beside others. The days are drawn from a fixed seed, so
-running this again writes the same files. tools/play-days.sh plays them.
+Every variant of every kind of fault occurs in at least three days: once with
+few other faults, twice among many. The days are drawn from a fixed seed, so
+that each run writes the same files. tools/play-days.sh runs the days.
 """
 import pathlib
 import random
@@ -77,8 +77,8 @@
     ("big_config", [""], {"count": 350}),
     ("revoke", ["", "last"], {"count": 2, "gap_s": 1.0}),
 ]
-# Variants added later, in days of their own so that the earlier days stay as
-# they are.
+# Further variants, in separate days: adding them to the lists above would change
+# the days drawn from those lists.
 MORE = [
     ("srv_crash", ["domain", "joined", "rack", "dark all"], {"for_s": 4.0, "share": 0.2}),
     ("scale_in", ["reclaim dry"], {"share": 0.15}),
@@ -100,8 +100,9 @@
     ("config_change", ["quota down", "topup"], {}),
     ("bad_config", ["stale_match"], {"count": 2, "gap_s": 0.6}),
 ]
-# Size rather than kind: configurations that are large, quick, or both, each
-# beside one trouble of the hosts that keep them, and callers by the thousand.
+# Faults of scale: large configurations and rapid configuration changes, each
+# combined with one fault of the hosts that store configurations, and thousands
+# of callers.
 LARGE = [("big_config", "", {"count": n}) for n in (1000, 3000)]
 QUICK = [("config_storm", "", {"gap_s": 0.05, "for_s": 12.0}),
          ("config_storm", "", {"gap_s": 0.2, "for_s": 15.0})]
@@ -164,13 +165,13 @@
     folder.mkdir(parents=True, exist_ok=True)
     rnd = random.Random(20261202)
     every = list(variants(SERVERS, CALLERS, HOSTS, STOPS, CORE, CONFIGS))
-    # Apart: four to a day, eight seconds from one to the next.
+    # Separate faults: four per day, eight seconds apart.
     for n in range(0, len(every), 4):
         entries = [(k, entry(k, h, f, 2.0 + 8.0 * i))
                    for i, (k, h, f) in enumerate(every[n:n + 4])]
         closing = CLOSINGS[n // 4 % 4] if n // 4 % 4 < 3 else None
         write_day(folder, f"apart-{n // 4:02d}", 1000 + n, entries, closing)
-    # Together: eight to a day at any moment, each variant twice.
+    # Overlapping faults: eight per day at random times, each variant twice.
     for round_ in range(2):
         order = every[:]
         rnd.shuffle(order)
@@ -185,8 +186,9 @@
 
 
 def write_sizes(folder):
-    """Each trouble of BESIDE in the midst of a large configuration and quick
-    changes of it; and the crowd, once by itself and once beside both."""
+    """Writes one day per fault of BESIDE, combined with a large configuration and
+    rapid changes of it, and two days with the faults of CROWD: alone and
+    combined with both."""
     day = 0
     for kind, how, fields in BESIDE:
         large = LARGE[day % len(LARGE)]
@@ -204,8 +206,8 @@
 
 
 def write_more(folder):
-    """The variants of MORE: apart once, beside each other twice; and each
-    closing fault in each of its variants."""
+    """Writes days with the variants of MORE, once separate and twice overlapping.
+    The days use each closing fault in each of its variants."""
     rnd = random.Random(20261203)
     more = list(variants(MORE))
     closings = [(c, h) for c in CLOSINGS for h in CLOSING_HOWS]
--- a/tools/model-check.sh
+++ b/tools/model-check.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Model-checks the specs with spin: each protocol must hold, and each seeded
-# mutant must be caught (a check that catches nothing proves nothing). Runs end
-# at the bounds of the model, so ends as such are no errors (-E).
+# Model-checks the specs with spin. Each protocol must hold, and each seeded
+# mutant must be caught: a check that finds no mutant proves nothing. Runs end at
+# the bounds of the model, so invalid end states are not errors (-E).
 set -euo pipefail
 cd "$(dirname "$0")/../spec"
 spec_dir=$PWD
 work=$(mktemp -d)
-# Prints "errors: N" for spec $1 with mutant $2.
+# Prints "errors: N" for spec $1 with mutant $2; mutant 0 is the unchanged spec.
 check() {
   (cd "$work" && rm -f pan* && spin -DMUTANT="$2" -a "$spec_dir/$1" >/dev/null &&
    gcc -O2 -DSAFETY -DCOLLAPSE -o pan pan.c 2>/dev/null &&
--- a/tools/play-days.sh
+++ b/tools/play-days.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Plays the days of deploy/days/ on the users' bench and prints each that
-# broke a rule. Needs the users' kit. Usage: tools/play-days.sh SITE [PATTERN]
+# Runs the test days of deploy/days/ on the users' bench and prints each day on
+# which a rule was broken. Needs the users' kit.
+# Usage: tools/play-days.sh SITE [PATTERN]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bench=../given/kit/more/system/more/bench-cc6490/bin/fleetbench
--- a/tools/run-default.sh
+++ b/tools/run-default.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# The main job on the embedded default: builds, starts two entries, four
-# agents (three beside fake engines, one beside a fake plain service) on
-# 127.0.0.1, runs the load tool against the entries and prints attainment by
-# class, goodput and wasted work. Stops only the processes it started.
+# Runs a workload on the embedded default deployment. Builds, then starts two
+# entries and four agents on 127.0.0.1: three agents with a fake engine each and
+# one with a fake plain service. Runs the load tool against the entries and
+# prints attainment by class, goodput and wasted work. Stops only the processes
+# it started.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 tools/install-deps.sh
--- a/tools/test.sh
+++ b/tools/test.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# The test command: installs, builds, checks format, model-checks the core
-# protocol, runs every test group through CTest. Tests listed in
-# KNOWN-RED.txt (a real fault not mended yet) are printed and passed over.
+# Runs all checks: installs dependencies, builds, checks format and clang-tidy,
+# model-checks the protocols, fuzzes for a short time, and runs every test group
+# through CTest. Tests listed in KNOWN-RED.txt (real faults not yet fixed) are
+# printed and skipped.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 tools/install-deps.sh
@@ -13,7 +14,7 @@
 fi
 echo "clang-format clean"
 echo "== clang-tidy"
-# Only what is compiled: the compile commands name the files.
+# Checks only compiled sources: clang-tidy needs their compile commands.
 if ! find src platform -name '*.cc' -not -path '*/test/*' |
     xargs -P "$(nproc)" -n1 clang-tidy -p build --quiet >build/tidy.txt 2>/dev/null; then
   grep -E 'error:' build/tidy.txt | sort -u | head -20
